--- a/router/src/main/java/rushwood/api/LoadReport.java
+++ b/router/src/main/java/rushwood/api/LoadReport.java
@@ -1,7 +1,7 @@
 package rushwood.api;
 
 /**
- * What a host reports of itself beside an answer or to a probe.
+ * What a host reports of itself beside an answer or to a health check.
  *
  * @param position how far the host has applied the log, as a clock time in nanoseconds, or NaN if
  *     it did not say; see {@link #hasPosition()}
--- a/router/src/main/java/rushwood/api/OverloadSignals.java
+++ b/router/src/main/java/rushwood/api/OverloadSignals.java
@@ -24,7 +24,7 @@
    */
   void attemptSent(long now, GroupId group, boolean retry);
 
-  /** Whether an unreachable host may be tried although no probe has found it up again. */
+  /** Whether an unreachable host may be tried although no health check has found it up. */
   boolean canConnect(long now, HostId host);
 
   /** Without overload control: the longest Retry-After while others wait, and no budgets. */
--- a/router/src/main/java/rushwood/api/PolicyActions.java
+++ b/router/src/main/java/rushwood/api/PolicyActions.java
@@ -23,8 +23,8 @@
   /** Final answer: whether the request ran is not known. */
   void fail(RequestId request);
 
-  /** Asks a host for a load report; {@link RoutingPolicy#probeFinished} tells the result. */
-  void probe(HostId host);
+  /** Asks a host for a load report; {@link RoutingPolicy#healthCheckFinished} tells the result. */
+  void checkHealth(HostId host);
 
   /** Asks for {@link RoutingPolicy#timerFired} at a clock time; replaces an earlier one. */
   void wakeAt(long time);
--- a/router/src/main/java/rushwood/api/RoutingPolicy.java
+++ b/router/src/main/java/rushwood/api/RoutingPolicy.java
@@ -33,8 +33,8 @@
   /** The router ends at the deadline: all pending requests have to be answered before. */
   void shuttingDown(long now, long deadline);
 
-  /** A probe has ended; without an answer the report is {@link LoadReport#NONE}. */
-  void probeFinished(long now, HostId host, boolean answered, LoadReport report);
+  /** A health check has ended; without an answer the report is {@link LoadReport#NONE}. */
+  void healthCheckFinished(long now, HostId host, boolean answered, LoadReport report);
 
   /** A time that the policy asked for with {@link PolicyActions#wakeAt} has come. */
   void timerFired(long now);
--- a/router/src/main/java/rushwood/api/RoutingSettings.java
+++ b/router/src/main/java/rushwood/api/RoutingSettings.java
@@ -9,7 +9,7 @@
  * @param subscribesToEndpoints whether the router has to subscribe to the endpoint list itself
  * @param hasLoadReports whether hosts report positions and roles
  * @param tracksSessionWrites whether the router, not the client, remembers a session's last write
- * @param canProbe whether hosts answer probes
+ * @param hasHealthChecks whether hosts answer health checks
  * @param canCancel whether hosts can be told to stop an attempt
  * @param canSendRetryAfter whether rejected clients may be told when to come back
  * @param maxRetryAfterNanos the longest that they may be told to wait
@@ -29,7 +29,7 @@
     LaggingReadBehavior laggingReadBehavior,
     boolean hasLoadReports,
     boolean tracksSessionWrites,
-    boolean canProbe,
+    boolean hasHealthChecks,
     boolean canCancel,
     boolean canSendRetryAfter,
     long maxRetryAfterNanos,
@@ -65,7 +65,7 @@
     private LaggingReadBehavior laggingReadBehavior = LaggingReadBehavior.SERVES;
     private boolean hasLoadReports;
     private boolean tracksSessionWrites;
-    private boolean canProbe;
+    private boolean hasHealthChecks;
     private boolean canCancel;
     private boolean canSendRetryAfter;
     private long maxRetryAfterNanos;
@@ -116,9 +116,9 @@
       return this;
     }
 
-    /** Sets {@link RoutingSettings#canProbe()}. */
-    public Builder canProbe(boolean value) {
-      canProbe = value;
+    /** Sets {@link RoutingSettings#hasHealthChecks()}. */
+    public Builder hasHealthChecks(boolean value) {
+      hasHealthChecks = value;
       return this;
     }
 
@@ -197,7 +197,7 @@
           laggingReadBehavior,
           hasLoadReports,
           tracksSessionWrites,
-          canProbe,
+          hasHealthChecks,
           canCancel,
           canSendRetryAfter,
           maxRetryAfterNanos,
--- a/router/src/main/java/rushwood/config/SettingsDecoder.java
+++ b/router/src/main/java/rushwood/config/SettingsDecoder.java
@@ -56,7 +56,7 @@
         .laggingReadBehavior(laggingReadBehavior())
         .hasLoadReports(hasLoadReports)
         .tracksSessionWrites(tracksSessionWrites)
-        .canProbe(flag("limits.probes"))
+        .hasHealthChecks(flag("limits.probes"))
         .canCancel(flag("limits.may_cancel"))
         .canSendRetryAfter(flag("limits.retry_after"))
         .maxRetryAfterNanos(nanos("limits.max_retry_after"))
--- a/router/src/main/java/rushwood/dispatch/AttemptExchange.java
+++ b/router/src/main/java/rushwood/dispatch/AttemptExchange.java
@@ -69,7 +69,7 @@
   }
 
   @Override
-  boolean isProbe() {
+  boolean isHealthCheck() {
     return false;
   }
 
--- a/router/src/main/java/rushwood/dispatch/BackendConnection.java
+++ b/router/src/main/java/rushwood/dispatch/BackendConnection.java
@@ -9,9 +9,9 @@
    * Writes a statement and takes its buffer over. Only for a connection that is open and carries no
    * exchange.
    *
-   * @param isProbe whether the row of the response is a load report
+   * @param isHealthCheck whether the row of the response is a load report
    */
-  void send(ByteBuf statement, boolean isProbe);
+  void send(ByteBuf statement, boolean isHealthCheck);
 
   /** Whether the last byte of the last statement was written to the socket. */
   boolean isStatementWritten();
@@ -27,8 +27,8 @@
     /** Begins to connect; the listener is told how it goes on. */
     BackendConnection connect(InetSocketAddress address, Listener listener);
 
-    /** The statement of a probe, which a host answers with a load report. */
-    ByteBuf probeStatement();
+    /** The statement of a health check, which a host answers with a load report. */
+    ByteBuf healthCheckStatement();
   }
 
   /** What a connection reports, never from within a call to it. */
--- a/router/src/main/java/rushwood/dispatch/ConnectionPool.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectionPool.java
@@ -92,9 +92,10 @@
     return true;
   }
 
-  /** Probes are exempt from the connect backoff: the routing policy limits them itself. */
+  /** Health checks are exempt from the connect backoff: the routing policy limits them itself. */
   private boolean canConnect(Exchange exchange) {
-    if (!exchange.isProbe() && !settings.backoff().isAttemptAllowed(exchange.host(), clock.now())) {
+    if (!exchange.isHealthCheck()
+        && !settings.backoff().isAttemptAllowed(exchange.host(), clock.now())) {
       counters.increment(Counter.CONNECTS_SUPPRESSED);
       return false;
     }
--- a/router/src/main/java/rushwood/dispatch/ConnectionSettings.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectionSettings.java
@@ -8,7 +8,7 @@
  *
  * @param descriptors the file descriptors that connections to hosts are taken from
  * @param backoff spaces out connection attempts to a host that takes none
- * @param connectTimeoutNanos how long a connection, and likewise a probe, may take
+ * @param connectTimeoutNanos how long a connection, and likewise a health check, may take
  * @param hostIdleTimeoutNanos after how long a host closes an idle connection
  * @param isRemovalBinding whether a host that is missing from the endpoint list must not be used
  * @param drainGraceNanos within which time of its draining a host must get no new statement
--- a/router/src/main/java/rushwood/dispatch/Counter.java
+++ b/router/src/main/java/rushwood/dispatch/Counter.java
@@ -56,16 +56,16 @@
   /** Attempts that ended with {@link AttemptOutcome#NOT_SENT}. */
   ATTEMPTS_NOT_SENT,
   /**
-   * Attempts and probes that were not written since their host drains, their client has left or
-   * their time to be written had passed. Attempts among them count as not sent as well.
+   * Attempts and health checks that were not written since their host drains, their client has left
+   * or their time to be written had passed. Attempts among them count as not sent as well.
    */
   ATTEMPTS_WITHHELD,
-  /** Attempts and probes that were written one event loop turn late, after a pause. */
+  /** Attempts and health checks that were written one event loop turn late, after a pause. */
   ATTEMPTS_DEFERRED,
 
-  /** Probes that the routing policy asked for. */
+  /** Health checks that the routing policy asked for. */
   PROBES_SENT,
-  /** Probes that a host answered. */
+  /** Health checks that a host answered. */
   PROBES_ANSWERED,
 
   /** Connections to hosts that were begun. */
--- a/router/src/main/java/rushwood/dispatch/Exchange.java
+++ b/router/src/main/java/rushwood/dispatch/Exchange.java
@@ -5,9 +5,9 @@
 import rushwood.api.HostId;
 
 /**
- * One statement to a host and the response to it: an attempt at a request, or a probe. An exchange
- * is given to a connection, written, and completed once, with the response of the host or with the
- * reason why there is none.
+ * One statement to a host and the response to it: an attempt at a request, or a health check. An
+ * exchange is given to a connection, written, and completed once, with the response of the host or
+ * with the reason why there is none.
  */
 abstract class Exchange {
   /** A write deadline that never passes. */
@@ -31,8 +31,8 @@
   /** The message to write; the caller releases it. */
   abstract ByteBuf encodeStatement(long now);
 
-  /** Whether this is a probe, which is answered with a load report. */
-  abstract boolean isProbe();
+  /** Whether this is a health check, which is answered with a load report. */
+  abstract boolean isHealthCheck();
 
   /** Called once, when the exchange is over; the implementation releases the response. */
   abstract void onCompleted(BackendResponse response);
--- a/router/src/main/java/rushwood/dispatch/ProbeRunner.java
+++ b/router/src/main/java/rushwood/dispatch/HealthCheckRunner.java
@@ -5,9 +5,10 @@
 import rushwood.api.HostId;
 
 /**
- * Sends the probes that the routing policy asks for and reports to it whether they are answered.
+ * Sends the health checks that the routing policy asks for and reports to it whether they are
+ * answered.
  */
-final class ProbeRunner {
+final class HealthCheckRunner {
   private final EventLoopClock clock;
   private final TimerQueue timers;
   private final Counters counters;
@@ -19,10 +20,10 @@
   /**
    * Creates a runner.
    *
-   * @param connector makes the statement of a probe
-   * @param timeoutNanos how long the response to a probe is waited for
+   * @param connector makes the statement of a health check
+   * @param timeoutNanos how long the response to a health check is waited for
    */
-  ProbeRunner(
+  HealthCheckRunner(
       EventLoopClock clock,
       TimerQueue timers,
       Counters counters,
@@ -39,28 +40,28 @@
     this.timeoutNanos = timeoutNanos;
   }
 
-  /** Sends a probe to a host; one that cannot be sent ends at once, unanswered. */
+  /** Sends a health check to a host; one that cannot be sent ends at once, unanswered. */
   void start(HostId host) {
     counters.increment(Counter.PROBES_SENT);
-    ProbeExchange probe = new ProbeExchange(host);
-    timers.schedule(clock.now() + timeoutNanos, () -> probe.stop(AttemptOutcome.TIMED_OUT));
-    if (!pool.execute(probe)) {
-      probe.complete(BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
+    HealthCheckExchange healthCheck = new HealthCheckExchange(host);
+    timers.schedule(clock.now() + timeoutNanos, () -> healthCheck.stop(AttemptOutcome.TIMED_OUT));
+    if (!pool.execute(healthCheck)) {
+      healthCheck.complete(BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
     }
   }
 
-  private final class ProbeExchange extends Exchange {
-    ProbeExchange(HostId host) {
+  private final class HealthCheckExchange extends Exchange {
+    HealthCheckExchange(HostId host) {
       super(host, NO_DEADLINE);
     }
 
     @Override
     ByteBuf encodeStatement(long now) {
-      return connector.probeStatement();
+      return connector.healthCheckStatement();
     }
 
     @Override
-    boolean isProbe() {
+    boolean isHealthCheck() {
       return true;
     }
 
@@ -72,7 +73,7 @@
       }
       response.release();
       events.deliver(
-          policy -> policy.probeFinished(clock.now(), host(), answered, response.report()));
+          policy -> policy.healthCheckFinished(clock.now(), host(), answered, response.report()));
     }
   }
 }
--- a/router/src/main/java/rushwood/dispatch/PooledConnection.java
+++ b/router/src/main/java/rushwood/dispatch/PooledConnection.java
@@ -127,7 +127,7 @@
         .counters()
         .checkInvariant(state == State.ASSIGNED, "a connection carries one exchange at a time");
     state = State.AWAITING_RESPONSE;
-    backend.send(exchange.encodeStatement(now()), exchange.isProbe());
+    backend.send(exchange.encodeStatement(now()), exchange.isHealthCheck());
   }
 
   /** Closes the connection, as its host drains, before anything of its exchange is written. */
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -24,7 +24,7 @@
   private final PolicyEventQueue events;
   private final RequestTable requests;
   private final AttemptRunner attempts;
-  private final ProbeRunner probes;
+  private final HealthCheckRunner healthChecks;
   private final EndpointRegistry endpoints;
   private final Consumer<String> logger;
   private long shutdownDeadline = Long.MAX_VALUE;
@@ -53,8 +53,8 @@
     events = new PolicyEventQueue(counters);
     requests = new RequestTable(counters, events);
     attempts = new AttemptRunner(clock, timers, counters, pool, requests);
-    probes =
-        new ProbeRunner(
+    healthChecks =
+        new HealthCheckRunner(
             clock, timers, counters, pool, events, connector, settings.connectTimeoutNanos());
     endpoints = new EndpointRegistry(pool, settings.isRemovalBinding());
     events.attach(policyFactory.apply(new DispatcherActions()));
@@ -208,8 +208,8 @@
     }
 
     @Override
-    public void probe(HostId host) {
-      probes.start(host);
+    public void checkHealth(HostId host) {
+      healthChecks.start(host);
     }
 
     @Override
--- a/router/src/main/java/rushwood/net/BackendConnector.java
+++ b/router/src/main/java/rushwood/net/BackendConnector.java
@@ -63,7 +63,7 @@
   }
 
   @Override
-  public ByteBuf probeStatement() {
+  public ByteBuf healthCheckStatement() {
     return MessageWriter.queryMessage(allocator, LOAD_REPORT_QUERY);
   }
 
@@ -150,9 +150,9 @@
     }
 
     @Override
-    public void send(ByteBuf statement, boolean isProbe) {
+    public void send(ByteBuf statement, boolean isHealthCheck) {
       statementWritten = false;
-      protocol.beginStatement(isProbe);
+      protocol.beginStatement(isHealthCheck);
       channel
           .writeAndFlush(statement)
           .addListener(written -> statementWritten |= written.isSuccess());
--- a/router/src/main/java/rushwood/overload/ConnectBackoff.java
+++ b/router/src/main/java/rushwood/overload/ConnectBackoff.java
@@ -27,7 +27,7 @@
   private static final long NO_GAP = 0;
   // A listener that restarts is back within a few of them.
   private static final long FIRST_GAP_NANOS = 20_000_000L;
-  // As often as the routing policy probes a host that is unreachable.
+  // As often as the routing policy checks an unreachable host.
   private static final long MAX_GAP_NANOS = 500_000_000L;
 
   private final Map<HostId, HostBackoff> backoffs = new LinkedHashMap<>();
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -186,8 +186,8 @@
   }
 
   @Override
-  public void probeFinished(long now, HostId host, boolean answered, LoadReport report) {
-    policy.probeFinished(now, host, answered, report);
+  public void healthCheckFinished(long now, HostId host, boolean answered, LoadReport report) {
+    policy.healthCheckFinished(now, host, answered, report);
   }
 
   @Override
@@ -311,8 +311,8 @@
     }
 
     @Override
-    public void probe(HostId host) {
-      actions.probe(host);
+    public void checkHealth(HostId host) {
+      actions.checkHealth(host);
     }
 
     @Override
--- a/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
@@ -7,7 +7,8 @@
  * short, and falls while answers are slow or missing, so that requests queue in the router, which
  * can order them, and not in the host. A limit below one is one slot with a pause after each use.
  */
-record ConcurrencyLimiter(PolicyContext context, SlowStart slowStart, ProbePolicy probes) {
+record ConcurrencyLimiter(
+    PolicyContext context, SlowStart slowStart, HealthCheckPolicy healthChecks) {
   private static final double MIN_LIMIT_OF_ALL_ROUTERS = 6; // at one host: keeps several cores busy
   private static final int INITIAL_MULTIPLE = 2; // times the minimum limit
   private static final double PRIMARY_READ_SHARE = 0.5; // of its slots; the rest is for writes
@@ -37,7 +38,7 @@
 
   /** Whether the host has a free slot for that request, which it may use safely. */
   boolean hasFreeSlot(PendingRequest pending, HostState host, long now) {
-    if (probes.isTrialDue(host, now)) {
+    if (healthChecks.isTrialDue(host, now)) {
       return pending.isIdempotent();
     }
     boolean isReadOnPrimary = host.isPrimary() && !pending.isWrite();
@@ -49,7 +50,7 @@
 
   /** Whether the host can take any attempt now. */
   boolean canTakeAny(HostState host, long now) {
-    return host.occupiedSlots() < effectiveLimit(host, now) || probes.isTrialDue(host, now);
+    return host.occupiedSlots() < effectiveLimit(host, now) || healthChecks.isTrialDue(host, now);
   }
 
   private double effectiveLimit(HostState host, long now) {
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -121,11 +121,11 @@
   }
 
   @Override
-  public void probeFinished(long now, HostId id, boolean answered, LoadReport report) {
+  public void healthCheckFinished(long now, HostId id, boolean answered, LoadReport report) {
     HostState host = context.hosts().host(id);
-    host.health.probeInFlight = false;
-    if (answered) { // No answer proves nothing: hosts turn probes away when many routers ask.
-      components.outliers.probeAnswered(host, now);
+    host.health.healthCheckInFlight = false;
+    if (answered) { // No answer proves nothing: hosts turn checks away when many routers ask.
+      components.outliers.healthCheckAnswered(host, now);
     }
     components.primaries.reportReceived(host, report, now);
     requests.dispatchWaiting(host, now);
@@ -149,7 +149,7 @@
       SlowStart.updateWorkRate(host);
       components.lostAnswers.check(host, now);
       components.outliers.check(host, now);
-      components.primaries.probeIfUnknown(host);
+      components.primaries.checkHealthIfPrimaryUnknown(host);
     }
     for (PendingRequest pending : group.waitingRequests()) {
       if (!pending.isWrite()) {
--- a/router/src/main/java/rushwood/policy/HostHealth.java
+++ b/router/src/main/java/rushwood/policy/HostHealth.java
@@ -18,13 +18,15 @@
   /** When it was last ejected; counts only while it is not healthy. */
   long ejectedAt;
 
-  /** When the next probe or trial request may be sent; counts only while it is not healthy. */
+  /**
+   * When the next health check or trial request may be sent; counts only while it is not healthy.
+   */
   long nextTrialAt;
 
   /** When it last answered an attempt, if only to refuse it. */
   long lastAnswerAt = HostState.NEVER;
 
-  boolean probeInFlight;
+  boolean healthCheckInFlight;
 
   void eject(Status newStatus, long now) {
     status = newStatus;
--- a/router/src/main/java/rushwood/policy/HostTable.java
+++ b/router/src/main/java/rushwood/policy/HostTable.java
@@ -50,11 +50,14 @@
     }
   }
 
-  /** Forgets hosts that have left their group, once no attempt or probe is in flight there. */
+  /**
+   * Forgets hosts that have left their group, once no attempt or health check is in flight there.
+   */
   void forgetRemoved() {
     hosts
         .values()
         .removeIf(
-            host -> !host.hasGroup() && host.inFlight.isEmpty() && !host.health.probeInFlight);
+            host ->
+                !host.hasGroup() && host.inFlight.isEmpty() && !host.health.healthCheckInFlight);
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -7,14 +7,15 @@
  * Ejects hosts that cannot be reached or answer nothing, and takes them back. An ejected host loses
  * its role as primary and gets nothing but trial requests.
  */
-record OutlierDetector(PolicyContext context, ProbePolicy probes, LostAnswerDetector lostAnswers) {
+record OutlierDetector(
+    PolicyContext context, HealthCheckPolicy healthChecks, LostAnswerDetector lostAnswers) {
   private static final double MAX_MISSING_ANSWERS = 12; // by chance once in 100,000
-  private static final long MAX_WARM_OUTAGE_NANOS = 2 * ProbePolicy.TRIAL_INTERVAL_NANOS;
+  private static final long MAX_WARM_OUTAGE_NANOS = 2 * HealthCheckPolicy.TRIAL_INTERVAL_NANOS;
 
   /** Whether the host may get requests: ejection never empties a group. */
   boolean isUsable(HostState host, long now) {
     return host.isHealthy()
-        || probes.isTrialDue(host, now)
+        || healthChecks.isTrialDue(host, now)
         || (host.group.hasNoHealthyMember()
             && (!host.isUnreachable() || context.overloadSignals().canConnect(now, host.id)));
   }
@@ -35,18 +36,18 @@
     }
   }
 
-  void probeAnswered(HostState host, long now) {
+  void healthCheckAnswered(HostState host, long now) {
     if (host.isUnreachable()) {
       restore(host, now);
     }
   }
 
-  /** Ejects or probes a host; called once a check interval. */
+  /** Ejects a host or checks its health; called once a check interval. */
   void check(HostState host, long now) {
     if (host.isHealthy() && missingAnswers(host, now) > MAX_MISSING_ANSWERS) {
       eject(host, HostHealth.Status.UNRESPONSIVE, now);
     } else {
-      probes.probeIfDue(host, now);
+      healthChecks.checkHealthIfDue(host, now);
     }
   }
 
@@ -64,7 +65,7 @@
     }
     context.actions().log(host.id + " is " + status);
     host.health.eject(status, now);
-    probes.hostEjected(host, now);
+    healthChecks.hostEjected(host, now);
     host.group.clearPrimary(host);
     lostAnswers.check(host, now);
   }
--- a/router/src/main/java/rushwood/policy/PolicyComponents.java
+++ b/router/src/main/java/rushwood/policy/PolicyComponents.java
@@ -8,7 +8,7 @@
   final DeadlinePolicy deadlines;
   final RetryPolicy retries;
   final FreshnessPolicy freshness;
-  final ProbePolicy probes;
+  final HealthCheckPolicy healthChecks;
   final SlowStart slowStart;
   final LostAnswerDetector lostAnswers;
   final OutlierDetector outliers;
@@ -21,13 +21,13 @@
     deadlines = new DeadlinePolicy(context.settings());
     retries = new RetryPolicy(context);
     freshness = new FreshnessPolicy(context.settings());
-    probes = new ProbePolicy(context, new TokenBucket());
+    healthChecks = new HealthCheckPolicy(context, new TokenBucket());
     slowStart = new SlowStart(context);
     lostAnswers = new LostAnswerDetector(context);
-    outliers = new OutlierDetector(context, probes, lostAnswers);
-    limiter = new ConcurrencyLimiter(context, slowStart, probes);
-    primaries = new PrimaryTracker(context, outliers, limiter, probes);
-    replicas = new ReplicaSelector(context, freshness, outliers, limiter, probes);
+    outliers = new OutlierDetector(context, healthChecks, lostAnswers);
+    limiter = new ConcurrencyLimiter(context, slowStart, healthChecks);
+    primaries = new PrimaryTracker(context, outliers, limiter, healthChecks);
+    replicas = new ReplicaSelector(context, freshness, outliers, limiter, healthChecks);
     queue = new QueuePolicy(context, freshness, primaries, replicas, limiter);
   }
 }
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -10,7 +10,7 @@
     PolicyContext context,
     OutlierDetector outliers,
     ConcurrencyLimiter limiter,
-    ProbePolicy probes) {
+    HealthCheckPolicy healthChecks) {
   /** How long evidence of a role counts while no primary is known. */
   private static final long ROLE_TTL_NANOS = 3 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
@@ -103,9 +103,9 @@
   }
 
   /** Asks a member for its role while requests wait and no primary is known. */
-  void probeIfUnknown(HostState host) {
+  void checkHealthIfPrimaryUnknown(HostState host) {
     if (host.group.needsPrimary() && !host.isUnreachable()) {
-      probes.probe(host);
+      healthChecks.checkHealth(host);
     }
   }
 }
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -10,7 +10,7 @@
     FreshnessPolicy freshness,
     OutlierDetector outliers,
     ConcurrencyLimiter limiter,
-    ProbePolicy probes) {
+    HealthCheckPolicy healthChecks) {
   private static final int CATCH_UP_DIVISOR = 2; // assumed: applies its log at twice real time
   private static final long MIN_CATCH_UP_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
   private static final long MAX_CATCH_UP_NANOS = 20 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
@@ -38,7 +38,8 @@
   private HostState selectOfAll(PendingRequest pending, long now) {
     Suitability best = bestSuitability(pending, now);
     if (best != Suitability.FRESH && context.settings().hasLoadReports()) {
-      probes.probeLeastRecentlyHeard(pending.group, freshness.minStalenessBoundNanos, now);
+      healthChecks.checkHealthOfLeastRecentlyHeard(
+          pending.group, freshness.minStalenessBoundNanos, now);
     }
     boolean isLong = isLongRead(pending);
     List<HostState> members = pending.group.members;
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -28,7 +28,7 @@
   void requestReceived(Request request, long now) {
     GroupState group = context.hosts().group(request.group());
     PendingRequest pending = requests.add(request, group, now);
-    components.probes.requestReceived();
+    components.healthChecks.requestReceived();
     addDeadline(pending);
     process(pending, now);
   }
@@ -61,7 +61,7 @@
 
   private void send(PendingRequest pending, HostState host, long now) {
     pending.dequeue();
-    components.probes.attemptSent(host, now);
+    components.healthChecks.attemptSent(host, now);
     boolean isCostlyRetry = pending.isRetryCostly();
     context.overloadSignals().attemptSent(now, pending.request.group(), isCostlyRetry);
     long timeoutNanos = components.deadlines.attemptTimeoutNanos(pending, now);
--- a/router/src/main/java/rushwood/policy/package-info.java
+++ b/router/src/main/java/rushwood/policy/package-info.java
@@ -5,8 +5,8 @@
  *
  * <p>The files that {@code policy} names in {@code deploy/balancer.toml} hold every decision and
  * every tuned value: retries, deadlines, freshness, the primary, replica selection, concurrency
- * limits, slow start, outliers, lost answers, probes and the order of the wait queue. All other
- * classes carry requests along ({@code RequestLifecycle}), wire the parts together ({@code
+ * limits, slow start, outliers, lost answers, health checks and the order of the wait queue. All
+ * other classes carry requests along ({@code RequestLifecycle}), wire the parts together ({@code
  * PolicyComponents}, {@code PolicyContext}), hold state ({@code HostTable}, {@code HostState},
  * {@code HostHealth}, {@code ReplicationState}, {@code SlowStartState}, {@code GroupState}, {@code
  * RequestTable}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts}, {@code
--- a/router/src/main/java/rushwood/protocol/BackendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/BackendProtocol.java
@@ -70,11 +70,11 @@
   /**
    * Call before a statement is written; only if the connection {@link #isUsable}.
    *
-   * @param isProbe whether the response is a load report
+   * @param isHealthCheck whether the response is a load report
    */
-  public void beginStatement(boolean isProbe) {
+  public void beginStatement(boolean isHealthCheck) {
     state = State.AWAITING_RESPONSE;
-    response.begin(isProbe);
+    response.begin(isHealthCheck);
   }
 
   /** Whether the next statement may be sent. */
--- a/router/src/main/java/rushwood/protocol/ResponseAssembler.java
+++ b/router/src/main/java/rushwood/protocol/ResponseAssembler.java
@@ -26,10 +26,10 @@
   private static final int COLUMN_DESCRIPTION_BYTES = 18; // behind the name of a column
 
   private final ByteBufAllocator allocator;
-  private boolean isProbe;
+  private boolean isHealthCheck;
   private CompositeByteBuf row; // owned until it is taken; null if there is none
   private char lastRowPart;
-  private String probeValue; // the value of a probe's row, or null
+  private String healthCheckValue; // the value of a health check's row, or null
   private AttemptOutcome outcome; // null until the row or an error is complete
   private HostRole role = HostRole.UNKNOWN;
   private long position;
@@ -42,17 +42,18 @@
   /**
    * Forgets all of the last response.
    *
-   * @param isProbe whether the value of the row is a load report, and not passed on to a client
+   * @param isHealthCheck whether the value of the row is a load report, and not passed on to a
+   *     client
    */
-  void begin(boolean isProbe) {
+  void begin(boolean isHealthCheck) {
     release();
-    this.isProbe = isProbe;
+    this.isHealthCheck = isHealthCheck;
     lastRowPart = NO_ROW_PART;
     outcome = null;
     role = HostRole.UNKNOWN;
     position = AttemptResult.NO_POSITION;
     report = LoadReport.NONE;
-    probeValue = null;
+    healthCheckValue = null;
   }
 
   /** Whether the row or error is complete; parameters and ReadyForQuery may follow. */
@@ -73,10 +74,10 @@
     int bodyStart = message.readerIndex();
     checkLengths(type, message);
     lastRowPart = type;
-    if (!isProbe) {
+    if (!isHealthCheck) {
       appendToRow(message);
     } else if (type == BackendMessageType.DATA_ROW) {
-      probeValue = columnValue(message, bodyStart);
+      healthCheckValue = columnValue(message, bodyStart);
     }
     if (type == BackendMessageType.COMMAND_COMPLETE) {
       outcome = AttemptOutcome.SUCCESS;
@@ -156,8 +157,8 @@
 
   /** The response, whose row then belongs to the caller. Only if there is an outcome. */
   BackendResponse take() {
-    if (probeValue != null) {
-      report = LoadReportParser.parse(probeValue);
+    if (healthCheckValue != null) {
+      report = LoadReportParser.parse(healthCheckValue);
     }
     ByteBuf completeRow = row;
     row = null;
--- a/router/src/main/java/rushwood/simulator/EventHandler.java
+++ b/router/src/main/java/rushwood/simulator/EventHandler.java
@@ -83,7 +83,7 @@
       case "work_item" -> receiveRequest(line);
       case "report_back" -> finishAttempt(line);
       case "lapsed" -> disconnectClient(line);
-      case "status_back" -> finishProbe(line);
+      case "status_back" -> finishHealthCheck(line);
       case "due" -> targetRouter(line).policy().timerFired(now);
       case "accepted", "from_peer" -> targetRouter(line);
       default -> throw line.malformed("message", "is unknown");
@@ -177,12 +177,12 @@
     router.policy().attemptFinished(now, EventDecoder.decodeAttemptResult(line, router));
   }
 
-  private void finishProbe(WireLine line) {
+  private void finishHealthCheck(WireLine line) {
     SimulatedRouter router = targetRouter(line);
     HostId host = new HostId(line.requiredText("host"));
     boolean hasAnswered = EventDecoder.decodeOutcome(line) == AttemptOutcome.SUCCESS;
     router
         .policy()
-        .probeFinished(now, host, hasAnswered, EventDecoder.decodeLoadReport(line, router));
+        .healthCheckFinished(now, host, hasAnswered, EventDecoder.decodeLoadReport(line, router));
   }
 }
--- a/router/src/main/java/rushwood/simulator/SimulatedRouter.java
+++ b/router/src/main/java/rushwood/simulator/SimulatedRouter.java
@@ -76,7 +76,7 @@
   }
 
   @Override
-  public void probe(HostId endpoint) {
+  public void checkHealth(HostId endpoint) {
     output.append("ping\thost=").append(endpoint.value()).append('\n');
   }
 
--- a/router/src/test/java/rushwood/api/NoPolicyActions.java
+++ b/router/src/test/java/rushwood/api/NoPolicyActions.java
@@ -15,7 +15,7 @@
   public void fail(RequestId request) {}
 
   @Override
-  public void probe(HostId host) {}
+  public void checkHealth(HostId host) {}
 
   @Override
   public void wakeAt(long time) {}
--- a/router/src/test/java/rushwood/dispatch/ConnectionPoolTest.java
+++ b/router/src/test/java/rushwood/dispatch/ConnectionPoolTest.java
@@ -14,17 +14,17 @@
   @Test
   void oldestIdleConnectionIsClosedAtTheLimit() {
     onAttemptFinished = () -> actions.reject(REQUEST, 0);
-    actions.probe(HOST);
-    actions.probe(HOST);
+    actions.checkHealth(HOST);
+    actions.checkHealth(HOST);
     receiveRequest();
     expectRecorded("0 NOT_SENT after 0", "released", "rejection 0");
     assertEquals(2, connections.size());
     connections.get(0).listener.connected();
     connections.get(0).respond(AttemptOutcome.SUCCESS);
-    expectRecorded("probed true");
+    expectRecorded("checked true");
     updateEndpoints(endpoint("b", 2, Endpoint.State.READY));
     recorded.clear();
-    actions.probe(new HostId("b"));
+    actions.checkHealth(new HostId("b"));
     assertEquals(3, connections.size(), "an idle connection makes room");
     assertFalse(connections.get(0).open);
   }
--- a/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
+++ b/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
@@ -61,7 +61,9 @@
   static final class FakeConnection implements BackendConnection {
     final Listener listener;
 
-    /** What was sent: "probe", or "d=" and the milliseconds that a statement gives the host. */
+    /**
+     * What was sent: "health check", or "d=" and the milliseconds that a statement gives the host.
+     */
     final List<String> sent = new ArrayList<>();
 
     boolean open = true;
@@ -72,8 +74,8 @@
     }
 
     @Override
-    public void send(ByteBuf statement, boolean isProbe) {
-      sent.add(isProbe ? "probe" : "d=" + statement.readableBytes());
+    public void send(ByteBuf statement, boolean isHealthCheck) {
+      sent.add(isHealthCheck ? "health check" : "d=" + statement.readableBytes());
       statement.release();
     }
 
@@ -112,7 +114,7 @@
     }
 
     @Override
-    public ByteBuf probeStatement() {
+    public ByteBuf healthCheckStatement() {
       return TestMessages.buffer(new byte[0]);
     }
   }
@@ -154,8 +156,8 @@
     }
 
     @Override
-    public void probeFinished(long now, HostId host, boolean answered, LoadReport report) {
-      recorded.add("probed " + answered);
+    public void healthCheckFinished(long now, HostId host, boolean answered, LoadReport report) {
+      recorded.add("checked " + answered);
     }
 
     @Override
--- a/router/src/test/java/rushwood/dispatch/EndpointUpdateTest.java
+++ b/router/src/test/java/rushwood/dispatch/EndpointUpdateTest.java
@@ -26,12 +26,13 @@
       recorded.clear();
       receiveRequest();
       FakeConnection connection = latestConnection();
-      actions.probe(HOST);
-      FakeConnection probe = latestConnection();
+      actions.checkHealth(HOST);
+      FakeConnection healthCheck = latestConnection();
       loop.advanceBy(50);
       updateEndpoints(host(state));
-      expectRecorded("updated 1", "0 NOT_SENT after 50", "released", "rejection 0", "probed false");
-      assertEquals(List.of(false, false), List.of(connection.open, probe.open));
+      expectRecorded(
+          "updated 1", "0 NOT_SENT after 50", "released", "rejection 0", "checked false");
+      assertEquals(List.of(false, false), List.of(connection.open, healthCheck.open));
       assertEquals(List.of(), connection.sent);
     }
     assertEquals(4, counters.get(Counter.ATTEMPTS_WITHHELD));
@@ -71,8 +72,8 @@
     expectRecorded("result", "0 SUCCESS answered after 0", "released");
     updateEndpoints(host(Endpoint.State.DRAINING));
     updateEndpoints(host(Endpoint.State.REMOVED));
-    actions.probe(HOST);
-    expectRecorded("updated 1", "updated 1", "probed false");
+    actions.checkHealth(HOST);
+    expectRecorded("updated 1", "updated 1", "checked false");
     replaceEndpoints(host(Endpoint.State.READY));
     serveRequest();
     expectRecorded("result", "0 SUCCESS answered after 0", "released");
--- a/router/src/test/java/rushwood/dispatch/PolicyEventTest.java
+++ b/router/src/test/java/rushwood/dispatch/PolicyEventTest.java
@@ -8,15 +8,15 @@
 import org.junit.jupiter.api.Test;
 import rushwood.api.AttemptOutcome;
 
-/** Probes, timers and failures of the policy. */
+/** Health checks, timers and failures of the policy. */
 class PolicyEventTest extends DispatcherFixture {
   @Test
-  void probeTimesOut() {
-    actions.probe(HOST);
+  void healthCheckTimesOut() {
+    actions.checkHealth(HOST);
     connections.get(0).listener.connected();
-    assertEquals(List.of("probe"), connections.get(0).sent);
+    assertEquals(List.of("health check"), connections.get(0).sent);
     loop.advanceTo(250);
-    expectRecorded("probed false");
+    expectRecorded("checked false");
     assertFalse(connections.get(0).open);
   }
 
--- a/router/src/test/java/rushwood/net/FrontendConnectionTest.java
+++ b/router/src/test/java/rushwood/net/FrontendConnectionTest.java
@@ -97,7 +97,7 @@
     public void shuttingDown(long now, long deadline) {}
 
     @Override
-    public void probeFinished(long now, HostId host, boolean answered, LoadReport report) {}
+    public void healthCheckFinished(long now, HostId host, boolean answered, LoadReport report) {}
 
     @Override
     public void timerFired(long now) {}
--- a/router/src/test/java/rushwood/policy/ScenarioPlayer.java
+++ b/router/src/test/java/rushwood/policy/ScenarioPlayer.java
@@ -94,7 +94,7 @@
       case "refresh-fails" -> policy().endpointRefreshFailed(now);
       case "request" -> request(command);
       case "result" -> finishAttempt(command);
-      case "probe-result" -> finishProbe(command);
+      case "probe-result" -> finishHealthCheck(command);
       case "shutdown" -> policy().shuttingDown(now, START + nanos(command.word(1)));
       case "disconnect" -> policy().clientDisconnected(now, new RequestId(command.word(1)));
       case "mark" -> mark = performed.size();
@@ -125,7 +125,7 @@
             RoutingSettings.LaggingReadBehavior.valueOf(settings.get("lagging-reads")))
         .hasLoadReports(true)
         .tracksSessionWrites(Boolean.parseBoolean(settings.get("tracks-writes")))
-        .canProbe(true)
+        .hasHealthChecks(true)
         .canCancel(true)
         .canSendRetryAfter(true)
         .maxRetryAfterNanos(500 * MS)
@@ -214,9 +214,9 @@
                 loadReport(command)));
   }
 
-  private void finishProbe(Command command) {
+  private void finishHealthCheck(Command command) {
     HostId host = new HostId(command.word(1));
-    policy().probeFinished(now, host, command.word(2).equals("yes"), loadReport(command));
+    policy().healthCheckFinished(now, host, command.word(2).equals("yes"), loadReport(command));
   }
 
   private static LoadReport loadReport(Command command) {
@@ -300,7 +300,7 @@
   }
 
   @Override
-  public void probe(HostId host) {
+  public void checkHealth(HostId host) {
     performed.add("probe " + host);
   }
 
--- a/router/src/test/java/rushwood/policy/SlowStartSimulation.java
+++ b/router/src/test/java/rushwood/policy/SlowStartSimulation.java
@@ -89,7 +89,7 @@
         .routerCount(routerCount)
         .requestClasses(List.of(READ))
         .laggingReadBehavior(RoutingSettings.LaggingReadBehavior.REJECTS)
-        .canProbe(true)
+        .hasHealthChecks(true)
         .canCancel(true)
         .canSendRetryAfter(true)
         .maxRetryAfterNanos(500 * MS)
@@ -304,10 +304,10 @@
     }
 
     @Override
-    public void probe(HostId host) {
+    public void checkHealth(HostId host) {
       schedule(
           now + MS,
-          () -> policy.probeFinished(now, host, !hosts.get(host).isDead, LoadReport.NONE));
+          () -> policy.healthCheckFinished(now, host, !hosts.get(host).isDead, LoadReport.NONE));
     }
 
     @Override
--- a/router/src/test/java/rushwood/protocol/BackendProtocolTest.java
+++ b/router/src/test/java/rushwood/protocol/BackendProtocolTest.java
@@ -69,11 +69,11 @@
   }
 
   /** A connection on which a statement was sent. */
-  private static TestBackend statementSent(boolean isProbe) {
+  private static TestBackend statementSent(boolean isHealthCheck) {
     TestBackend backend = new TestBackend().feed(TestMessages.startupResponse());
     assertEquals(List.of("connected"), backend.events);
     backend.events.clear();
-    backend.protocol.beginStatement(isProbe);
+    backend.protocol.beginStatement(isHealthCheck);
     return backend;
   }
 
@@ -233,7 +233,7 @@
   }
 
   @Test
-  void rowOfAProbeIsALoadReport() {
+  void rowOfAHealthCheckIsALoadReport() {
     TestBackend backend =
         statementSent(true)
             .feed(TestMessages.rowResponse("x0=12.5,x1=0"), TestMessages.readyForQuery());
--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -102,7 +102,9 @@
             (executions == 1 && answer.equals(FAILED))
                 || (executions == 0 && answer.equals(REJECTED)),
             "sent " + executions + " times and answered " + answer);
-        for (int more = 0; more < 20; more++) { // the probe budget is a share of the requests
+        for (int more = 0;
+            more < 20;
+            more++) { // the health-check budget is a share of the requests
           client.query(read("r" + i + "-" + more));
         }
         Thread.sleep(600); // then the primary gets a trial request again
--- a/router/src/test/java/rushwood/server/RouterProcessFixture.java
+++ b/router/src/test/java/rushwood/server/RouterProcessFixture.java
@@ -219,7 +219,9 @@
     return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
   }
 
-  /** Takes the next statement of a client that the backend has received; probes are skipped. */
+  /**
+   * Takes the next statement of a client that the backend has received; health checks are skipped.
+   */
   static String nextStatement(StandInBackend backend) throws InterruptedException {
     return takeFirst(backend.receivedStatements, statement -> !statement.startsWith("SHOW"));
   }
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -84,7 +84,7 @@
     public void fail(RequestId request) {}
 
     @Override
-    public void probe(HostId host) {}
+    public void checkHealth(HostId host) {}
 
     @Override
     public void wakeAt(long time) {}
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
@@ -180,21 +180,21 @@
   }
 
   @Override
-  public void probe(HostId id) {
+  public void checkHealth(HostId id) {
     HostModel model = context.store().host(id).model();
     if (!model.isUp()) {
       context.counts().connectedWhileDown();
     }
-    events.scheduleAfter(SimulationContext.ROUND_TRIP, () -> finishProbe(id, model));
+    events.scheduleAfter(SimulationContext.ROUND_TRIP, () -> finishHealthCheck(id, model));
   }
 
-  private void finishProbe(HostId id, HostModel model) {
+  private void finishHealthCheck(HostId id, HostModel model) {
     boolean up = model.isUp();
     LoadReport report =
         up
             ? new LoadReport(model.position(events.now()), HostRole.of(model.isPrimary()))
             : LoadReport.NONE;
-    callPolicy(() -> policy.probeFinished(events.now(), id, up, report));
+    callPolicy(() -> policy.healthCheckFinished(events.now(), id, up, report));
   }
 
   @Override
