--- a/router/src/main/java/rushwood/api/PolicyActions.java
+++ b/router/src/main/java/rushwood/api/PolicyActions.java
@@ -32,6 +32,6 @@
   /** Asks for the endpoint list, and for its changes from then on. */
   void subscribeToEndpoints();
 
-  /** Writes a line to the log. */
-  void log(String line);
+  /** Writes a line to the log: what happened, to which host or group, and why. */
+  void log(LogLevel level, String line);
 }
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -1,12 +1,13 @@
 package rushwood.dispatch;
 
 import java.util.List;
-import java.util.function.Consumer;
+import java.util.function.BiConsumer;
 import java.util.function.Function;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.Endpoint;
 import rushwood.api.GroupId;
 import rushwood.api.HostId;
+import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
 import rushwood.api.RequestId;
@@ -26,7 +27,7 @@
   private final AttemptRunner attempts;
   private final HealthCheckRunner healthChecks;
   private final EndpointRegistry endpoints;
-  private final Consumer<String> logger;
+  private final BiConsumer<LogLevel, String> logger;
   private long shutdownDeadline = Long.MAX_VALUE;
   private TimerQueue.ScheduledTask policyTimer;
 
@@ -43,7 +44,7 @@
       Counters counters,
       ConnectionSettings settings,
       BackendConnection.Connector connector,
-      Consumer<String> logger,
+      BiConsumer<LogLevel, String> logger,
       Function<PolicyActions, RoutingPolicy> policyFactory) {
     this.clock = clock;
     this.timers = timers;
@@ -226,8 +227,8 @@
     public void subscribeToEndpoints() {}
 
     @Override
-    public void log(String message) {
-      logger.accept(message);
+    public void log(LogLevel level, String message) {
+      logger.accept(level, message);
     }
   }
 }
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -7,6 +7,7 @@
 import rushwood.api.GroupId;
 import rushwood.api.HostId;
 import rushwood.api.LoadReport;
+import rushwood.api.LogLevel;
 import rushwood.api.OverloadSignals;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
@@ -326,8 +327,8 @@
     }
 
     @Override
-    public void log(String line) {
-      actions.log(line);
+    public void log(LogLevel level, String line) {
+      actions.log(level, line);
     }
   }
 }
--- a/router/src/main/java/rushwood/overload/OverloadDetector.java
+++ b/router/src/main/java/rushwood/overload/OverloadDetector.java
@@ -1,5 +1,7 @@
 package rushwood.overload;
 
+import rushwood.api.LogLevel;
+
 /**
  * Tells from the rates of one router, group or host whether it is overloaded: requests are refused
  * and clients repeat them faster than they can be served.
@@ -20,6 +22,11 @@
     /** Refusals have become rare, but clients may still come back. */
     RECOVERING;
 
+    /** A change to this state is a fault while requests are refused and repeated. */
+    LogLevel logLevel() {
+      return this == RISING || this == OVERLOADED ? LogLevel.WARN : LogLevel.INFO;
+    }
+
     /** Whether retries are limited by a budget in this state. */
     boolean limitsRetries() {
       return this == OVERLOADED || this == RECOVERING;
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Consumer;
+import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
 import rushwood.api.Endpoint;
 import rushwood.api.GroupId;
 import rushwood.api.HostId;
+import rushwood.api.LogLevel;
 
 /**
  * What is known of the router, of each group and of each host: overload detectors, retry budgets,
@@ -39,7 +40,7 @@
 
   private final OverloadSettings settings;
   private final OverloadCounts counts;
-  private final Consumer<String> log;
+  private final BiConsumer<LogLevel, String> log;
   private final OverloadDetector routerDetector = new OverloadDetector();
   private final Map<GroupId, GroupStatistics> groups =
       new TreeMap<>(Comparator.comparingInt(GroupId::value));
@@ -47,7 +48,8 @@
   private final Map<HostId, GroupId> groupByHost = new LinkedHashMap<>();
 
   /** {@code log} receives a line for each change of state. */
-  OverloadStatistics(OverloadSettings settings, OverloadCounts counts, Consumer<String> log) {
+  OverloadStatistics(
+      OverloadSettings settings, OverloadCounts counts, BiConsumer<LogLevel, String> log) {
     this.settings = settings;
     this.counts = counts;
     this.log = log;
@@ -187,7 +189,7 @@
   private void tick(String scope, OverloadDetector detector) {
     if (detector.tick()) {
       counts.addStateChange();
-      log.accept("overload at " + scope + " is " + detector);
+      log.accept(detector.state().logLevel(), "overload state of " + scope + " is now " + detector);
     }
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -1,7 +1,9 @@
 package rushwood.policy;
 
+import java.util.Locale;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
+import rushwood.api.LogLevel;
 
 /**
  * Ejects hosts that cannot be reached or answer nothing, and takes them back. An ejected host loses
@@ -52,7 +54,7 @@
   }
 
   private void restore(HostState host, long now) {
-    context.actions().log(host.id + " is healthy again");
+    context.actions().log(LogLevel.INFO, "restored host " + host.id + ": it answers again");
     if (host.isUnreachable() && now - host.health.ejectedAt > MAX_WARM_OUTAGE_NANOS) {
       host.reset(now); // after so long an outage its process has probably restarted, and is cold
     }
@@ -63,7 +65,8 @@
     if (!host.hasGroup() || host.isUnreachable() || host.health.status == status) {
       return;
     }
-    context.actions().log(host.id + " is " + status);
+    String reason = status.name().toLowerCase(Locale.ROOT);
+    context.actions().log(LogLevel.WARN, "ejected host " + host.id + ": " + reason);
     host.health.eject(status, now);
     healthChecks.hostEjected(host, now);
     host.group.clearPrimary(host);
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -4,6 +4,7 @@
 import rushwood.api.AttemptResult;
 import rushwood.api.HostRole;
 import rushwood.api.LoadReport;
+import rushwood.api.LogLevel;
 
 /** Decides which member of a group counts as its primary, and where a write goes. */
 record PrimaryTracker(
@@ -64,7 +65,8 @@
     if (role == HostRole.REPLICA) {
       group.clearPrimary(host);
     } else if (group.primary != host && isLatest) {
-      context.actions().log("primary is " + host.id);
+      String change = "primary of group " + host.endpoint.group() + " is now host " + host.id;
+      context.actions().log(LogLevel.INFO, change);
       group.primary = host;
     }
   }
--- a/router/src/main/java/rushwood/server/ConfigReloader.java
+++ b/router/src/main/java/rushwood/server/ConfigReloader.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
+import rushwood.api.LogLevel;
 import rushwood.config.InvalidConfigException;
 import rushwood.config.RouterConfig;
 import rushwood.dispatch.Counter;
@@ -91,7 +92,7 @@
   private void onRejected(int signal, int attempt, String previousReason, String reason) {
     if (!reason.equals(previousReason)) {
       components.counters().increment(Counter.CONFIGS_REJECTED);
-      components.logger().log("the new configuration is not taken: " + reason);
+      components.logger().log(LogLevel.WARN, "ignored the new configuration: " + reason);
     }
     if (signal == signalCount && attempt < MAX_ATTEMPTS) {
       long retryTime = components.clock().now() + RETRY_INTERVAL_NANOS;
--- a/router/src/main/java/rushwood/server/EndpointListHandler.java
+++ b/router/src/main/java/rushwood/server/EndpointListHandler.java
@@ -1,6 +1,7 @@
 package rushwood.server;
 
 import java.util.List;
+import rushwood.api.LogLevel;
 import rushwood.discovery.DiscoveryClient;
 import rushwood.discovery.EndpointList;
 import rushwood.dispatch.Counter;
@@ -66,21 +67,22 @@
   @Override
   public void problemFound(String problem) {
     counters.increment(Counter.ENDPOINT_LISTS_MALFORMED);
-    logProblem("discovery writes what cannot be read, the valid entries are used: " + problem);
+    logProblem(
+        "discovery sent an endpoint list with an error, its other entries are used: " + problem);
   }
 
   /** Logs a problem once, however often it is met in a row. */
   private void logProblem(String problem) {
     if (!problem.equals(currentProblem)) {
       currentProblem = problem;
-      logger.log(problem);
+      logger.log(LogLevel.WARN, problem);
     }
   }
 
   private void problemResolved() {
     if (!currentProblem.isEmpty()) {
       currentProblem = "";
-      logger.log("discovery answers again");
+      logger.log(LogLevel.INFO, "discovery answers again");
     }
   }
 }
--- a/router/src/main/java/rushwood/server/RateLimitedLogger.java
+++ b/router/src/main/java/rushwood/server/RateLimitedLogger.java
@@ -1,6 +1,7 @@
 package rushwood.server;
 
 import org.tinylog.Logger;
+import rushwood.api.LogLevel;
 import rushwood.dispatch.EventLoopClock;
 
 /**
@@ -24,18 +25,26 @@
   }
 
   /** Logs a line, or counts it as suppressed if the limit is reached. */
-  void log(String line) {
+  void log(LogLevel level, String line) {
     if (clock.now() - windowStart >= WINDOW_NANOS) {
       startWindow();
     }
     if (logged < MAX_LINES_PER_WINDOW) {
       logged++;
-      Logger.info("{}", line);
+      write(level, line);
     } else {
       suppressed++;
     }
   }
 
+  private static void write(LogLevel level, String line) {
+    switch (level) {
+      case INFO -> Logger.info("{}", line);
+      case WARN -> Logger.warn("{}", line);
+      case ERROR -> Logger.error("{}", line);
+    }
+  }
+
   private void startWindow() {
     if (suppressed > 0) {
       Logger.warn("{} lines were suppressed", suppressed);
--- a/router/src/main/java/rushwood/server/RequestPathFactory.java
+++ b/router/src/main/java/rushwood/server/RequestPathFactory.java
@@ -1,10 +1,11 @@
 package rushwood.server;
 
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
+import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
+import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 import rushwood.api.RoutingPolicy;
 import rushwood.config.RouterConfig;
@@ -60,7 +61,7 @@
    */
   RequestDispatcher createDispatcher(
       BackendConnection.Connector backendConnector,
-      Consumer<String> logger,
+      BiConsumer<LogLevel, String> logger,
       Function<PolicyActions, RoutingPolicy> policyFactory) {
     return new RequestDispatcher(
         clock,
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
+import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 import rushwood.config.OperatorSettings;
 import rushwood.config.RouterConfig;
@@ -101,7 +102,7 @@
   private void logException(Throwable thrown) {
     List<StackTraceElement> frames =
         List.of(thrown.getStackTrace()).stream().limit(LOGGED_STACK_FRAMES).toList();
-    logger.log("caught " + thrown + " at " + frames);
+    logger.log(LogLevel.ERROR, "caught " + thrown + " at " + frames);
   }
 
   private RequestDispatcher createDispatcher() {
@@ -154,7 +155,7 @@
     if (config.lastKnownEndpoints().isPresent()) {
       EndpointList list = config.lastKnownEndpoints().get();
       for (String problem : list.problems()) {
-        logger.log("last known endpoint list: " + problem);
+        logger.log(LogLevel.WARN, "last known endpoint list: " + problem);
       }
       endpoints = list.endpoints();
     }
--- a/router/src/main/java/rushwood/server/RouterServer.java
+++ b/router/src/main/java/rushwood/server/RouterServer.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
+import rushwood.api.LogLevel;
 import rushwood.config.OperatorSettings;
 import rushwood.config.RouterConfig;
 
@@ -125,10 +126,14 @@
     RateLimitedLogger logger = components.logger();
     config
         .fieldsRequiringRestart(newConfig)
-        .forEach(field -> logger.log("the new configuration's " + field + " takes a restart"));
+        .forEach(
+            field ->
+                logger.log(
+                    LogLevel.WARN,
+                    "ignored the new value of " + field + ": it changes only at a restart"));
     if (!newConfig.discoveryAddress().equals(discoveryAddress)) {
       discoveryAddress = newConfig.discoveryAddress();
-      logger.log("discovery is at " + discoveryAddress);
+      logger.log(LogLevel.INFO, "discovery is now at " + discoveryAddress);
       components.discoveryClient().changeAddress(discoveryAddress);
     }
   }
--- a/router/src/main/java/rushwood/server/Warmup.java
+++ b/router/src/main/java/rushwood/server/Warmup.java
@@ -118,7 +118,7 @@
     dispatcher =
         requestPathFactory.createDispatcher(
             createBackendConnector(),
-            line -> {}, // nothing is logged
+            (level, line) -> {}, // nothing is logged
             actions -> requestPathFactory.createPolicy(OverloadSettings.DEFAULT, actions));
     FrontendServer frontend =
         requestPathFactory.createFrontend(
--- a/router/src/main/java/rushwood/simulator/SimulatedRouter.java
+++ b/router/src/main/java/rushwood/simulator/SimulatedRouter.java
@@ -2,6 +2,7 @@
 
 import java.util.SplittableRandom;
 import rushwood.api.HostId;
+import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 import rushwood.api.RequestId;
 import rushwood.api.RoutingPolicy;
@@ -93,7 +94,7 @@
   }
 
   @Override
-  public void log(String message) {
+  public void log(LogLevel level, String message) {
     output.append("write_log\tmessage=").append(message).append('\n');
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -20,6 +20,7 @@
 import rushwood.api.HostId;
 import rushwood.api.HostRole;
 import rushwood.api.LoadReport;
+import rushwood.api.LogLevel;
 import rushwood.api.OverloadSignals;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
@@ -93,7 +94,7 @@
     public void subscribeToEndpoints() {}
 
     @Override
-    public void log(String line) {}
+    public void log(LogLevel level, String line) {}
   }
 
   /** Creates both policies, with the settings of the testbed's routers and one ready host. */
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
@@ -12,6 +12,7 @@
 import rushwood.api.HostId;
 import rushwood.api.HostRole;
 import rushwood.api.LoadReport;
+import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
 import rushwood.api.RequestId;
@@ -30,7 +31,7 @@
  * made after it has returned, in their order.
  */
 final class VirtualRouter implements PolicyActions {
-  private static final String OVERLOAD_LOG_PREFIX = "overload at router";
+  private static final String OVERLOAD_LOG_PREFIX = "overload state of router";
   private static final long NO_TIMER = Long.MAX_VALUE;
 
   private final SimulationContext context;
@@ -219,7 +220,7 @@
   }
 
   @Override
-  public void log(String line) {
+  public void log(LogLevel level, String line) {
     if (line.startsWith(OVERLOAD_LOG_PREFIX)) {
       context.result().addToSeries(ReportNames.OVERLOAD_CHANGES_SERIES, events.elapsed(), 1);
     }
