--- a/router/src/main/java/rushwood/api/Request.java
+++ b/router/src/main/java/rushwood/api/Request.java
@@ -1,9 +1,11 @@
 package rushwood.api;
 
+import org.jspecify.annotations.Nullable;
+
 /**
  * One read or write that a client asks for.
  *
- * @param session the session whose writes the request has to see, or null if there is none
+ * @param session the session whose writes the request has to see, null if there is none
  * @param deadline the clock time at which the client stops waiting
  * @param sinceLastWriteNanos the time since the last commit of the session as its client knows it,
  *     0 if there was none
@@ -14,7 +16,7 @@
 public record Request(
     RequestId id,
     RequestClass requestClass,
-    SessionId session,
+    @Nullable SessionId session,
     GroupId group,
     long deadline,
     long sinceLastWriteNanos,
@@ -25,7 +27,7 @@
   public Request(
       RequestId id,
       RequestClass requestClass,
-      SessionId session,
+      @Nullable SessionId session,
       GroupId group,
       long deadline,
       long sinceLastWriteNanos) {
--- a/router/src/main/java/rushwood/api/RequestClass.java
+++ b/router/src/main/java/rushwood/api/RequestClass.java
@@ -1,6 +1,7 @@
 package rushwood.api;
 
 import java.util.List;
+import java.util.Optional;
 
 /**
  * The kind of a request, as the settings define it.
@@ -28,12 +29,11 @@
     long maxStalenessNanos,
     double lateValue) {
 
-  /** The class of that name, or null if there is none. */
-  public static RequestClass findByName(List<RequestClass> requestClasses, String name) {
+  /** The class of that name, if there is one. */
+  public static Optional<RequestClass> findByName(List<RequestClass> requestClasses, String name) {
     return requestClasses.stream()
-        .filter(each -> each.name().equals(name))
-        .findFirst()
-        .orElse(null);
+        .filter(requestClass -> requestClass.name().equals(name))
+        .findFirst();
   }
 
   /** Whether a request may run more than once. */
--- a/router/src/main/java/rushwood/api/package-info.java
+++ b/router/src/main/java/rushwood/api/package-info.java
@@ -5,4 +5,7 @@
  * rushwood.api.PolicyActions} what it can order, {@link rushwood.api.RoutingSettings} its settings,
  * and {@link rushwood.api.OverloadSignals} what it can ask of overload control.
  */
+@NullMarked
 package rushwood.api;
+
+import org.jspecify.annotations.NullMarked;
--- a/router/src/main/java/rushwood/protocol/SqlStatementParser.java
+++ b/router/src/main/java/rushwood/protocol/SqlStatementParser.java
@@ -186,10 +186,9 @@
 
   private RequestClass parseRequestClass(List<RequestClass> requestClasses, boolean isWrite)
       throws ProtocolException {
-    RequestClass requestClass = RequestClass.findByName(requestClasses, requireField(CLASS_FIELD));
-    if (requestClass == null) {
-      throw invalidField(CLASS_FIELD, "names no product");
-    }
+    RequestClass requestClass =
+        RequestClass.findByName(requestClasses, requireField(CLASS_FIELD))
+            .orElseThrow(() -> invalidField(CLASS_FIELD, "names no product"));
     if (isWrite != requestClass.isWrite()) {
       throw invalidField(CLASS_FIELD, "does not go with the statement");
     }
--- a/router/src/main/java/rushwood/simulator/EventDecoder.java
+++ b/router/src/main/java/rushwood/simulator/EventDecoder.java
@@ -33,10 +33,8 @@
   static Request decodeRequest(WireLine line, SimulatedRouter router) {
     String className = line.requiredText("kind");
     RequestClass requestClass =
-        RequestClass.findByName(router.settings().requestClasses(), className);
-    if (requestClass == null) {
-      throw line.malformed("kind", "is unknown: " + className);
-    }
+        RequestClass.findByName(router.settings().requestClasses(), className)
+            .orElseThrow(() -> line.malformed("kind", "is unknown: " + className));
     String session = line.optionalText("sess");
     return new Request(
         new RequestId(line.requiredText("id")),
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -103,7 +103,8 @@
     RoutingSettings settings = RouterConfig.decodeSettings(RouterSettings.forCluster(1).toString());
     requestClass =
         RequestClass.findByName(
-            settings.requestClasses(), TestbedRequestClass.EVENTUAL_READ.wireName());
+                settings.requestClasses(), TestbedRequestClass.EVENTUAL_READ.wireName())
+            .orElseThrow();
     policyAlone =
         new DefaultRoutingPolicy(
             settings,
--- a/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
@@ -87,7 +87,8 @@
     int number = 0;
     for (PopulationSpec spec : experiment.populations()) {
       RequestClass requestClass =
-          RequestClass.findByName(settings.requestClasses(), spec.requestClass().wireName());
+          RequestClass.findByName(settings.requestClasses(), spec.requestClass().wireName())
+              .orElseThrow();
       SplittableRandom random = new SplittableRandom(experiment.seed() + number);
       for (int i = 0; i < spec.count(); i++) {
         VirtualRouter router = routers.get(number % routers.size());
