--- a/router/src/main/java/rushwood/api/GroupId.java
+++ b/router/src/main/java/rushwood/api/GroupId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Names a group of hosts that hold the same data. */
+/** Identifies a group of hosts that hold the same data. */
 public record GroupId(int value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/HostId.java
+++ b/router/src/main/java/rushwood/api/HostId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Names a host. */
+/** Identifies a host. */
 public record HostId(String value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/OverloadSignals.java
+++ b/router/src/main/java/rushwood/api/OverloadSignals.java
@@ -2,7 +2,8 @@
 
 /**
  * What overload control tells the routing policy: Retry-After times and retry budgets. The policy
- * still chooses which request is rejected, retried or sent. Times are clock times in nanoseconds.
+ * still chooses which request is rejected, retried or sent. Asked on the thread that calls the
+ * policy; {@code now} is a clock time in nanoseconds.
  */
 public interface OverloadSignals {
   /**
--- a/router/src/main/java/rushwood/api/PolicyActions.java
+++ b/router/src/main/java/rushwood/api/PolicyActions.java
@@ -1,29 +1,38 @@
 package rushwood.api;
 
-/** What a routing policy can have done. Durations are in nanoseconds. */
+/**
+ * What a routing policy can order. A policy calls these methods on the thread that calls the policy
+ * and only from within such a call; no method calls the policy back before it returns. Durations
+ * are in nanoseconds.
+ */
 public interface PolicyActions {
   /**
-   * Sends an attempt.
+   * Sends an attempt at a request to a host; {@link RoutingPolicy#attemptFinished} reports its end.
    *
    * @param timeoutNanos the attempt ends as {@link AttemptOutcome#TIMED_OUT} after that time
-   * @param startWithinNanos if it cannot be written to the host within that time, it is not sent
+   * @param startWithinNanos if it cannot be written to the host within that time, it ends as {@link
+   *     AttemptOutcome#NOT_SENT}
    */
   void send(RequestId request, HostId host, long timeoutNanos, long startWithinNanos);
 
-  /** Stops an attempt that is in flight. */
+  /**
+   * Stops an attempt that is in flight; it still ends with {@link RoutingPolicy#attemptFinished}.
+   *
+   * @param attemptNumber the number of the attempt among those of its request, from 0
+   */
   void cancel(RequestId request, int attemptNumber);
 
   /**
-   * Final answer: the request did not run, and trying again is harmless.
+   * Gives the final answer that the request did not run, and that trying again is harmless.
    *
    * @param retryAfterNanos how long the client is told to wait before, 0 for no such hint
    */
   void reject(RequestId request, long retryAfterNanos);
 
-  /** Final answer: whether the request ran is not known. */
+  /** Gives the final answer that leaves open whether the request ran. */
   void fail(RequestId request);
 
-  /** Asks a host for a load report; {@link RoutingPolicy#healthCheckFinished} tells the result. */
+  /** Asks a host for a load report; {@link RoutingPolicy#healthCheckFinished} has the result. */
   void checkHealth(HostId host);
 
   /** Asks for {@link RoutingPolicy#timerFired} at a clock time; replaces an earlier one. */
--- a/router/src/main/java/rushwood/api/RequestId.java
+++ b/router/src/main/java/rushwood/api/RequestId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Names a request; each request of a client has a new one. */
+/** Identifies a request; each request of a client has a new one. */
 public record RequestId(String value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/RoutingPolicy.java
+++ b/router/src/main/java/rushwood/api/RoutingPolicy.java
@@ -3,37 +3,55 @@
 import java.util.List;
 
 /**
- * Chooses hosts, retries and refusals for one router. All calls come from one thread, one at a
- * time, with a clock in nanoseconds that never goes back. What the policy chooses leaves through
- * the {@link PolicyActions} that it was made with, before the call returns.
+ * Chooses hosts, retries and rejections for the requests of one router.
+ *
+ * <p>Thread: a policy is not synchronized. All calls come from the router's event loop (in the
+ * simulator from its only thread), one at a time and never from within another call. Time: {@code
+ * now} is a clock time in nanoseconds that never goes back. What the policy decides leaves through
+ * the {@link PolicyActions} that it was created with, before the call returns. A call throws only
+ * for a fault of the program.
  */
 public interface RoutingPolicy {
   /**
-   * A complete endpoint list: hosts that it does not name are removed.
+   * A complete endpoint list was received: hosts that it does not contain are removed.
    *
    * @param fromCache whether this is the list that the router held before it started
    */
   void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache);
 
-  /** Changes of single endpoints; an empty list where discovery moves to another address. */
+  /**
+   * Single endpoints changed.
+   *
+   * @param changes the changed endpoints; empty where the router moves to another discovery agent
+   */
   void endpointsUpdated(long now, List<Endpoint> changes);
 
-  /** A request for the endpoint list failed, or the subscription ended. */
+  /** A poll of the endpoint list failed, or its watch ended. */
   void endpointRefreshFailed(long now);
 
-  /** A client sent a request. */
+  /** A client sent a request. Its id must be new; its group may be unknown. */
   void requestReceived(long now, Request request);
 
-  /** An attempt that the policy sent has ended. */
+  /**
+   * An attempt that the policy sent has ended. Every attempt ends exactly once, also one that was
+   * cancelled.
+   *
+   * @throws IllegalArgumentException if the policy sent no such attempt
+   */
   void attemptFinished(long now, AttemptResult result);
 
-  /** The client of a request has gone: no answer is owed. */
+  /** The client of a request disconnected or cancelled it: no answer is owed any more. */
   void clientDisconnected(long now, RequestId request);
 
-  /** The router ends at the deadline: all pending requests have to be answered before. */
+  /** The router ends at {@code deadline}: every pending request has to be answered before. */
   void shuttingDown(long now, long deadline);
 
-  /** A health check has ended; without an answer the report is {@link LoadReport#NONE}. */
+  /**
+   * A health check that the policy asked for has ended.
+   *
+   * @param answered whether the host answered it in time
+   * @param report what the host reported; {@link LoadReport#NONE} without an answer
+   */
   void healthCheckFinished(long now, HostId host, boolean answered, LoadReport report);
 
   /** A time that the policy asked for with {@link PolicyActions#wakeAt} has come. */
--- a/router/src/main/java/rushwood/api/SessionId.java
+++ b/router/src/main/java/rushwood/api/SessionId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Names a session of a client, within which its reads see its writes. */
+/** Identifies a session of a client, within which its reads see its writes. */
 public record SessionId(String value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/ZoneId.java
+++ b/router/src/main/java/rushwood/api/ZoneId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Names a zone, in which hosts may fail together. */
+/** Identifies a zone, in which hosts may fail together. */
 public record ZoneId(String value) {
   @Override
   public String toString() {
