--- a/router/src/main/java/rushwood/net/ConnectionRegistry.java
+++ b/router/src/main/java/rushwood/net/ConnectionRegistry.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
+import rushwood.overload.AdmittedConnection;
 import rushwood.overload.ConnectionAdmission;
-import rushwood.overload.ConnectionAdmission.AdmittedConnection;
 import rushwood.overload.DescriptorBudget;
 
 /**
--- /dev/null
+++ b/router/src/main/java/rushwood/overload/ConnectionList.java
@@ -0,0 +1,34 @@
+package rushwood.overload;
+
+/**
+ * Connections in the order in which they were added: a doubly linked ring of the connections
+ * themselves, closed by a sentinel. Every call takes constant time and allocates nothing.
+ */
+final class ConnectionList {
+  private final AdmittedConnection sentinel = new AdmittedConnection(this, Times.LONG_AGO);
+  private int length;
+
+  /** Adds a connection that is in no list. */
+  void add(AdmittedConnection connection) {
+    connection.linkBefore(sentinel);
+    length++;
+  }
+
+  /** Removes a connection that is in this list. */
+  void remove(AdmittedConnection connection) {
+    connection.unlink();
+    length--;
+  }
+
+  AdmittedConnection oldest() {
+    return length == 0 ? null : sentinel.next();
+  }
+
+  AdmittedConnection newest() {
+    return length == 0 ? null : sentinel.previous();
+  }
+
+  int length() {
+    return length;
+  }
+}
--- a/router/src/test/java/rushwood/net/FrontendConnectionTest.java
+++ b/router/src/test/java/rushwood/net/FrontendConnectionTest.java
@@ -31,7 +31,7 @@
 import rushwood.dispatch.RequestDispatcher;
 import rushwood.overload.ConnectBackoff;
 import rushwood.overload.ConnectionAdmission;
-import rushwood.overload.ConnectionAdmission.ConnectionState;
+import rushwood.overload.ConnectionState;
 import rushwood.overload.DescriptorBudget;
 import rushwood.protocol.TestMessages;
 
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -9,8 +9,6 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rushwood.overload.ConnectionAdmission.AdmittedConnection;
-import rushwood.overload.ConnectionAdmission.ConnectionState;
 
 class ConnectionAdmissionTest {
   private static final long MS = 1_000_000L;
