--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -17,6 +17,7 @@
 import rushwood.overload.AdmittedConnection;
 import rushwood.overload.ConnectionAdmission;
 import rushwood.overload.DescriptorBudget;
+import rushwood.overload.EvictionDecision;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.MessageWriter;
 import rushwood.protocol.SqlState;
@@ -160,20 +161,20 @@
 
   /** Closes connections that have been idle for long, where few clients reuse theirs. */
   private void evictIdleConnections() {
-    for (AdmittedConnection idle = admission.idleToClose(clock.now());
-        idle != null;
-        idle = admission.idleToClose(clock.now())) {
-      connectionOf(idle).evict();
+    EvictionDecision decision = admission.decideBelowLimit(clock.now());
+    while (decision.action().isClose()) {
+      connectionOf(decision.connection()).evict();
+      decision = admission.decideBelowLimit(clock.now());
     }
   }
 
   /** Makes room for one connection; returns whether there was one to close. */
   private boolean evictNext() {
-    AdmittedConnection evicted = admission.connectionToClose(clock.now());
-    if (evicted == null) {
+    EvictionDecision decision = admission.decideOverLimit(clock.now());
+    if (!decision.action().isClose()) {
       return false;
     }
-    connectionOf(evicted).evict();
+    connectionOf(decision.connection()).evict();
     return true;
   }
 
@@ -182,15 +183,26 @@
     evictionScheduled = false;
     boolean more = true;
     while (more) {
-      more = admission.isOverLimit() && evictNext();
+      more = admission.isOverLimit() && endOneOverLimit();
     }
-    for (AdmittedConnection newest = admission.newestWithoutRequest();
-        admission.isOverLimit() && newest != null;
-        newest = admission.newestWithoutRequest()) {
-      counters.increment(Counter.CLIENTS_REFUSED);
-      connectionOf(newest)
-          .closeWithError(TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
+  }
+
+  /** Closes or refuses one connection; returns whether there was one. */
+  private boolean endOneOverLimit() {
+    EvictionDecision decision = admission.decideOverLimit(clock.now());
+    switch (decision.action()) {
+      case CLOSE_WITHOUT_FIRST_REQUEST, CLOSE_IDLE -> connectionOf(decision.connection()).evict();
+      case REFUSE_NEWEST -> refuseNewest(connectionOf(decision.connection()));
+      case NONE -> {
+        return false;
+      }
     }
+    return true;
+  }
+
+  private void refuseNewest(FrontendConnection connection) {
+    counters.increment(Counter.CLIENTS_REFUSED);
+    connection.closeWithError(TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
   }
 
   private static FrontendConnection connectionOf(AdmittedConnection admitted) {
--- a/router/src/main/java/rushwood/overload/ConnectionList.java
+++ b/router/src/main/java/rushwood/overload/ConnectionList.java
@@ -1,5 +1,7 @@
 package rushwood.overload;
 
+import org.jspecify.annotations.Nullable;
+
 /**
  * Connections in the order in which they were added: a doubly linked ring of the connections
  * themselves, closed by a sentinel. Every call takes constant time and allocates nothing.
@@ -20,11 +22,11 @@
     length--;
   }
 
-  AdmittedConnection oldest() {
+  @Nullable AdmittedConnection oldest() {
     return length == 0 ? null : sentinel.next();
   }
 
-  AdmittedConnection newest() {
+  @Nullable AdmittedConnection newest() {
     return length == 0 ? null : sentinel.previous();
   }
 
--- a/router/src/main/java/rushwood/overload/ConnectionsByState.java
+++ b/router/src/main/java/rushwood/overload/ConnectionsByState.java
@@ -1,5 +1,7 @@
 package rushwood.overload;
 
+import org.jspecify.annotations.Nullable;
+
 /**
  * The admitted connections, each in the list of its state, in the order in which they entered it.
  */
@@ -41,12 +43,12 @@
   }
 
   /** The connection that entered the state first. */
-  AdmittedConnection oldest(ConnectionState state) {
+  @Nullable AdmittedConnection oldest(ConnectionState state) {
     return list(state).oldest();
   }
 
   /** The connection that entered the state last. */
-  AdmittedConnection newest(ConnectionState state) {
+  @Nullable AdmittedConnection newest(ConnectionState state) {
     return list(state).newest();
   }
 
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -1,14 +1,15 @@
 package rushwood.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import rushwood.overload.EvictionDecision.Action;
 
 class ConnectionAdmissionTest {
   private static final long MS = 1_000_000L;
@@ -24,8 +25,19 @@
     admission.setState(connection, state, at * MS);
   }
 
-  private AdmittedConnection connectionToClose(long at) {
-    return admission.connectionToClose(at * MS);
+  private static void assertEnds(
+      Action action, AdmittedConnection connection, EvictionDecision decision) {
+    assertEquals(action, decision.action());
+    assertSame(connection, decision.connection());
+  }
+
+  private void assertEndsOverLimit(Action action, AdmittedConnection connection, long at) {
+    assertEnds(action, connection, admission.decideOverLimit(at * MS));
+  }
+
+  private static void assertNoneEnds(EvictionDecision decision, String message) {
+    assertEquals(Action.NONE, decision.action(), message);
+    assertThrows(IllegalStateException.class, decision::connection);
   }
 
   /** A client that was told when to retry keeps its connection until that time has passed. */
@@ -37,14 +49,17 @@
     setState(busy, ConnectionState.BUSY, 0);
     AdmittedConnection idle = admit("idle", 0);
     setState(idle, ConnectionState.IDLE, 200);
-    admit("newest", 210);
+    AdmittedConnection newest = admit("newest", 210);
     assertTrue(admission.isOverLimit());
-    assertNull(connectionToClose(210), "not idle for long enough");
-    assertSame(idle, connectionToClose(300));
+    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 210); // idle, but not for long enough
+    assertEndsOverLimit(Action.CLOSE_IDLE, idle, 300);
     admission.remove(idle);
-    assertNull(connectionToClose(350), "the others await a retry, are busy or new");
-    admission.remove(admission.newestWithoutRequest());
-    assertSame(awaitingRetry, connectionToClose(750), "did not return at its time nor soon after");
+    // The others await a retry, are busy or new.
+    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 350);
+    admission.remove(newest);
+    assertNoneEnds(admission.decideOverLimit(749 * MS), "may still return");
+    // Did not return at its time nor soon after.
+    assertEndsOverLimit(Action.CLOSE_IDLE, awaitingRetry, 750);
   }
 
   /** First requests follow the connect at once, so a connection without one is closed first. */
@@ -55,10 +70,10 @@
     AdmittedConnection withoutRequest = admit("withoutRequest", 0);
     admit("later", 120);
     admit("newest", 149);
-    assertSame(idle, connectionToClose(149));
-    assertSame(withoutRequest, connectionToClose(150));
+    assertEndsOverLimit(Action.CLOSE_IDLE, idle, 149);
+    assertEndsOverLimit(Action.CLOSE_WITHOUT_FIRST_REQUEST, withoutRequest, 150);
     setState(withoutRequest, ConnectionState.BUSY, 150); // its first request arrived after all
-    assertSame(idle, connectionToClose(150));
+    assertEndsOverLimit(Action.CLOSE_IDLE, idle, 150);
   }
 
   @Test
@@ -67,8 +82,9 @@
       setState(admit(owner, 0), ConnectionState.BUSY, 0);
     }
     AdmittedConnection newest = admit("newest", 1);
-    assertNull(connectionToClose(1));
-    assertSame(newest, admission.newestWithoutRequest());
+    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 1);
+    setState(newest, ConnectionState.BUSY, 1);
+    assertNoneEnds(admission.decideOverLimit(1 * MS), "all are busy");
   }
 
   /** Clients that send one request and stay idle lose the connection even below the limit. */
@@ -81,18 +97,18 @@
       large.setState(idle.get(i), ConnectionState.IDLE, 0);
       large.recordRequest(true);
     }
-    assertNull(large.idleToClose(1000 * MS), "connections are reused");
+    assertNoneEnds(large.decideBelowLimit(1000 * MS), "connections are reused");
     for (int i = 0; i < 40; i++) {
       large.recordRequest(false);
     }
-    assertNull(large.idleToClose(99 * MS), "not idle for long enough");
+    assertNoneEnds(large.decideBelowLimit(99 * MS), "not idle for long enough");
     for (int i = 0; i < 28; i++) {
-      assertSame(idle.get(i), large.idleToClose(100 * MS));
+      assertEnds(Action.CLOSE_IDLE, idle.get(i), large.decideBelowLimit(100 * MS));
       large.remove(idle.get(i));
     }
-    assertNull(large.idleToClose(1000 * MS), "so few may stay idle");
+    assertNoneEnds(large.decideBelowLimit(1000 * MS), "so few may stay idle");
     large.startShutdown();
-    assertNull(large.idleToClose(1000 * MS));
+    assertNoneEnds(large.decideBelowLimit(1000 * MS), "the router shuts down");
   }
 
   /** A client that loses its connection during shutdown cannot reconnect: idle ones are kept. */
@@ -102,11 +118,11 @@
     setState(idle, ConnectionState.IDLE, 0);
     AdmittedConnection withoutRequest = admit("withoutRequest", 0);
     setState(admit("busy", 0), ConnectionState.BUSY, 0);
-    admit("newest", 1000);
+    AdmittedConnection newest = admit("newest", 1000);
     admission.startShutdown();
-    assertSame(withoutRequest, connectionToClose(1000));
+    assertEndsOverLimit(Action.CLOSE_WITHOUT_FIRST_REQUEST, withoutRequest, 1000);
     admission.remove(withoutRequest);
-    assertNull(connectionToClose(1000));
+    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 1000);
   }
 
   /** Every connection is in exactly one list, whatever the order of calls. */
@@ -130,8 +146,8 @@
       closeWhileOverLimit(large, admitted, at);
       assertEquals(admitted.size(), large.openConnections());
       int sum = 0;
-      for (ConnectionState each : ConnectionState.values()) {
-        sum += large.openConnections(each);
+      for (ConnectionState state : ConnectionState.values()) {
+        sum += large.openConnections(state);
       }
       assertEquals(admitted.size(), sum);
     }
@@ -140,10 +156,11 @@
   private static void closeWhileOverLimit(
       ConnectionAdmission admission, List<AdmittedConnection> admitted, long at) {
     while (admission.isOverLimit()) {
-      AdmittedConnection closed = admission.connectionToClose(at * MS);
-      if (closed == null) {
+      EvictionDecision decision = admission.decideOverLimit(at * MS);
+      if (!decision.action().isClose()) {
         return;
       }
+      AdmittedConnection closed = decision.connection();
       assertTrue(closed.state() != ConnectionState.BUSY && admitted.remove(closed));
       admission.remove(closed);
       admission.remove(closed); // a second removal has no effect
