--- a/router/src/main/java/rushwood/overload/AmbiguousWrites.java
+++ b/router/src/main/java/rushwood/overload/AmbiguousWrites.java
@@ -30,7 +30,7 @@
 
   /** Whether an earlier write of that fingerprint may have been executed, or may still be. */
   boolean hasEarlierWrite(long now, Request request) {
-    return enabled && isUnsafeToRepeat(request) && isHeld(now, request.fingerprint());
+    return enabled && isUnsafeToRepeat(request) && isAmbiguous(now, request.fingerprint());
   }
 
   /** Remembers a request that ended without an answer and may have been executed. */
@@ -42,9 +42,9 @@
     long windowEnd = now + request.requestClass().idempotencyWindowNanos();
     long expiresAt = Math.max(request.deadline(), windowEnd);
     long id = ++lastId;
-    long held = isHeld(now, request.fingerprint()) ? SEVERAL_WRITES : id;
+    long remembered = isAmbiguous(now, request.fingerprint()) ? SEVERAL_WRITES : id;
     tracked.setAmbiguityId(id);
-    idByFingerprint.put(request.fingerprint(), expiresAt, held, now);
+    idByFingerprint.put(request.fingerprint(), expiresAt, remembered, now);
   }
 
   /** The request was not executed: forgets it, unless others share its fingerprint. */
@@ -56,7 +56,7 @@
     }
   }
 
-  private boolean isHeld(long now, long fingerprint) {
+  private boolean isAmbiguous(long now, long fingerprint) {
     return idByFingerprint.get(fingerprint, now) != FingerprintCache.ABSENT;
   }
 
--- a/router/src/main/java/rushwood/overload/ConnectBackoff.java
+++ b/router/src/main/java/rushwood/overload/ConnectBackoff.java
@@ -3,11 +3,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.random.RandomGenerator;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.HostId;
 
 /**
  * Limits connection attempts to hosts that accept none: after a failure one attempt at a time, at
- * exponentially growing gaps with jitter, until one succeeds.
+ * exponentially growing gaps with jitter, until one succeeds. Times are clock times in nanoseconds.
  *
  * <p>A host that is down costs a bounded number of attempts a second whatever the load, and one
  * that comes back is not met by everything that waited for it.
@@ -16,18 +17,38 @@
   private static final class HostBackoff {
     private int attemptsInFlight;
     private long gapNanos = NO_GAP;
-    private long nextAttemptAt = Long.MIN_VALUE;
+    private long nextAttemptAt = Times.LONG_AGO;
 
-    /** Whether an attempt failed and none has succeeded since. */
-    private boolean isBackingOff() {
-      return gapNanos != NO_GAP;
+    boolean isAttemptAllowed(long now) {
+      boolean isBackingOff = gapNanos != NO_GAP;
+      return !isBackingOff || (attemptsInFlight == 0 && now >= nextAttemptAt);
+    }
+
+    void attemptStarted() {
+      attemptsInFlight++;
+    }
+
+    void attemptEnded() {
+      attemptsInFlight = Math.max(0, attemptsInFlight - 1);
+    }
+
+    void reset() {
+      gapNanos = NO_GAP;
+    }
+
+    /** Doubles the gap, unless the next attempt was not due: then others failed with this one. */
+    void backOff(long now, RandomGenerator random) {
+      if (now >= nextAttemptAt) {
+        gapNanos = Math.min(MAX_GAP_NANOS, Math.max(FIRST_GAP_NANOS, 2 * gapNanos));
+        nextAttemptAt = now + gapNanos / 2 + random.nextLong(gapNanos);
+      }
     }
   }
 
   private static final long NO_GAP = 0;
   // A listener that restarts is back within a few of them.
   private static final long FIRST_GAP_NANOS = 20_000_000L;
-  // As often as the routing policy checks an unreachable host.
+  // As often as the routing policy checks the health of a host that is unreachable.
   private static final long MAX_GAP_NANOS = 500_000_000L;
 
   private final Map<HostId, HostBackoff> backoffs = new LinkedHashMap<>();
@@ -43,16 +64,13 @@
   /** Whether an attempt may start now. */
   public boolean isAttemptAllowed(HostId host, long now) {
     HostBackoff backoff = backoffs.get(host);
-    return !enabled
-        || backoff == null
-        || !backoff.isBackingOff()
-        || (backoff.attemptsInFlight == 0 && now >= backoff.nextAttemptAt);
+    return !enabled || backoff == null || backoff.isAttemptAllowed(now);
   }
 
   /** An attempt starts; one of the other three methods ends it. */
   public void attemptStarted(HostId host) {
     if (enabled) {
-      backoffs.computeIfAbsent(host, each -> new HostBackoff()).attemptsInFlight++;
+      backoffs.computeIfAbsent(host, unknownHost -> new HostBackoff()).attemptStarted();
     }
   }
 
@@ -60,16 +78,15 @@
   public void attemptSucceeded(HostId host) {
     HostBackoff backoff = endAttempt(host);
     if (backoff != null) {
-      backoff.gapNanos = NO_GAP;
+      backoff.reset();
     }
   }
 
   /** An attempt failed. Attempts that started together fail together and count as one failure. */
   public void attemptFailed(HostId host, long now) {
     HostBackoff backoff = endAttempt(host);
-    if (backoff != null && now >= backoff.nextAttemptAt) {
-      backoff.gapNanos = Math.min(MAX_GAP_NANOS, Math.max(FIRST_GAP_NANOS, 2 * backoff.gapNanos));
-      backoff.nextAttemptAt = now + backoff.gapNanos / 2 + random.nextLong(backoff.gapNanos);
+    if (backoff != null) {
+      backoff.backOff(now, random);
     }
   }
 
@@ -78,11 +95,11 @@
     endAttempt(host);
   }
 
-  /** Returns the host's backoff, or null if the host was forgotten during the attempt. */
-  private HostBackoff endAttempt(HostId host) {
+  /** Returns the host's backoff, unless the host was forgotten during the attempt. */
+  private @Nullable HostBackoff endAttempt(HostId host) {
     HostBackoff backoff = backoffs.get(host);
     if (backoff != null) {
-      backoff.attemptsInFlight = Math.max(0, backoff.attemptsInFlight - 1);
+      backoff.attemptEnded();
     }
     return backoff;
   }
--- a/router/src/main/java/rushwood/overload/RepeatSketch.java
+++ b/router/src/main/java/rushwood/overload/RepeatSketch.java
@@ -14,18 +14,14 @@
   /** Counts go no higher than this. */
   public static final int MAX_COUNT = 254;
 
-  // With a third as many fingerprints as a row has cells, 0.7% of those never added share a cell
-  // in all four rows.
+  // A fingerprint that was never added is counted only if it shares its cell in every row.
   private static final int ROWS = 4;
 
-  // No span has begun: the first call begins one.
-  private static final long NOT_STARTED = 0;
-
   private byte[][] current;
   private byte[][] previous;
   private final int mask;
   private final long spanNanos;
-  private long rotateAt = NOT_STARTED;
+  private long rotateAt = Times.LONG_AGO; // the first call begins a span
 
   /**
    * Creates an empty sketch.
@@ -85,7 +81,7 @@
   }
 
   private void rotateIfDue(long now) {
-    if (rotateAt == NOT_STARTED) {
+    if (rotateAt == Times.LONG_AGO) {
       rotateAt = now + spanNanos;
     }
     // Two rotations clear both sketches, so more of them change nothing.
--- a/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
@@ -6,10 +6,13 @@
  * Spreads the times at which rejected clients return: a wheel of slots ahead of now, each with room
  * for as many requests as the hosts are expected to serve in it.
  *
- * <p>A reservation takes the first slot with room, and its wait is the time until then. Where no
- * slot has room the wait is the maximum, without a reservation. Writes may use all of a slot, other
- * requests leave a part of it free; one group leaves half of it to the others while there are any.
- * Memory is fixed: slots of the past are reused.
+ * <p>A reservation takes the first slot with room behind the time when the requests that wait now
+ * are served, and its wait is the time until then. Where no slot has room the wait is the maximum,
+ * without a reservation. Requests of high priority may use all of a slot, others leave a part of it
+ * free ({@link #MAX_LOW_PRIORITY_SHARE}); one group leaves a part to the others while there are any
+ * ({@link #MAX_SHARE_OF_ONE_GROUP}).
+ *
+ * <p>Times are clock times in nanoseconds. Memory is fixed: slots of the past are reused.
  */
 public final class RetryAfterSchedule {
   /** A wait in nanoseconds; {@code reserved} if a slot has room for its request then. */
@@ -18,16 +21,14 @@
   /** The length of a slot: finer than clients' waits need, coarser than a turn of the loop. */
   public static final long SLOT_NANOS = 10_000_000L;
 
-  // Groups are told apart by their number modulo this; groups that collide share their part.
-  private static final int SHARES = 32;
-  // The part of a slot that one group may take while others reserve too.
-  private static final double MAX_PART_OF_ONE_GROUP = 0.5;
-  // The part of a slot that requests of low priority may take.
-  private static final double LOW_PRIORITY_PART = 0.75;
+  // Groups whose numbers are equal modulo this count as one.
+  private static final int GROUP_BUCKETS = 32;
+  // Of a slot, while several groups are active.
+  private static final double MAX_SHARE_OF_ONE_GROUP = 0.5;
+  // Of a slot, for requests of low priority.
+  private static final double MAX_LOW_PRIORITY_SHARE = 0.75;
   // A group counts as active for so long after a reservation: a few waits.
-  private static final long ACTIVE_NANOS = 2_000_000_000L;
-  // Earlier than any clock time, and far enough from the end that differences do not overflow.
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long GROUP_ACTIVE_NANOS = 2_000_000_000L;
   private static final double NANOS_PER_SECOND = 1e9;
   // Slots that one reservation takes at most: 1 / MIN_CAPACITY_PER_SLOT.
   private static final double MIN_CAPACITY_PER_SLOT = 1e-3;
@@ -35,9 +36,9 @@
   private final int slotCount;
   private final long maxWaitNanos;
   private final int[] reservedInSlot;
-  private final int[][] reservedByShare;
+  private final int[][] reservedByGroupBucket;
   private final long[] slotNumbers;
-  private final long[] lastReservedAt = new long[SHARES];
+  private final long[] lastReservedAt = new long[GROUP_BUCKETS];
   private double capacityPerSlot;
 
   /** Creates an empty schedule that tells no wait longer than {@code maxWaitNanos}. */
@@ -45,9 +46,9 @@
     this.maxWaitNanos = maxWaitNanos;
     slotCount = (int) Math.max(1, maxWaitNanos / SLOT_NANOS);
     reservedInSlot = new int[slotCount + 1];
-    reservedByShare = new int[slotCount + 1][SHARES];
+    reservedByGroupBucket = new int[slotCount + 1][GROUP_BUCKETS];
     slotNumbers = new long[slotCount + 1];
-    Arrays.fill(lastReservedAt, NEVER);
+    Arrays.fill(lastReservedAt, Times.LONG_AGO);
   }
 
   /** Sets how many requests a second the hosts are expected to serve; 0 if that is unknown. */
@@ -65,17 +66,19 @@
    */
   public Reservation reserve(
       long now, int group, boolean highPriority, double waitingRequests, long clientMaxWaitNanos) {
-    int share = Math.floorMod(group, SHARES);
-    lastReservedAt[share] = now;
-    double capacity = capacityPerSlot * (highPriority ? 1 : LOW_PRIORITY_PART);
-    double shareCapacity =
-        isAnotherActive(now, share) ? capacityPerSlot * MAX_PART_OF_ONE_GROUP : capacity;
+    int groupBucket = Math.floorMod(group, GROUP_BUCKETS);
+    lastReservedAt[groupBucket] = now;
+    double capacity = capacityPerSlot * (highPriority ? 1 : MAX_LOW_PRIORITY_SHARE);
+    double groupCapacity =
+        isAnotherGroupActive(now, groupBucket)
+            ? capacityPerSlot * MAX_SHARE_OF_ONE_GROUP
+            : capacity;
     long current = now / SLOT_NANOS;
     long first = current + 1 + slotsUntilServed(waitingRequests);
     long last = current + Math.min(slotCount, Math.max(1, clientMaxWaitNanos / SLOT_NANOS));
     for (long slot = first; slot <= last; slot++) {
-      if (hasRoom(slot, share, capacity, shareCapacity)) {
-        occupy(slot, last, share);
+      if (hasRoom(slot, groupBucket, capacity, groupCapacity)) {
+        occupy(slot, last, groupBucket);
         long waitNanos = Math.max(SLOT_NANOS, slot * SLOT_NANOS - now);
         return new Reservation(Math.min(maxWaitNanos, waitNanos), true);
       }
@@ -83,9 +86,9 @@
     return new Reservation(maxWaitNanos, false);
   }
 
-  private boolean isAnotherActive(long now, int share) {
-    for (int i = 0; i < SHARES; i++) {
-      if (i != share && lastReservedAt[i] > now - ACTIVE_NANOS) {
+  private boolean isAnotherGroupActive(long now, int groupBucket) {
+    for (int i = 0; i < GROUP_BUCKETS; i++) {
+      if (i != groupBucket && lastReservedAt[i] > now - GROUP_ACTIVE_NANOS) {
         return true;
       }
     }
@@ -99,23 +102,23 @@
   }
 
   /** Whether one more fits; a slot has room for one at least, however slow the hosts are. */
-  private boolean hasRoom(long slot, int share, double capacity, double shareCapacity) {
+  private boolean hasRoom(long slot, int groupBucket, double capacity, double groupCapacity) {
     int index = slotIndex(slot);
     return reservedInSlot[index] + 1 <= Math.max(1, capacity)
-        && reservedByShare[index][share] + 1 <= Math.max(1, shareCapacity);
+        && reservedByGroupBucket[index][groupBucket] + 1 <= Math.max(1, groupCapacity);
   }
 
   /**
    * Takes room for one request: where less than one fits into a slot, in as many slots as the hosts
    * need to serve it.
    */
-  private void occupy(long slot, long last, int share) {
+  private void occupy(long slot, long last, int groupBucket) {
     double capacity = Math.max(MIN_CAPACITY_PER_SLOT, capacityPerSlot);
     long end = Math.min(last, slot + (long) Math.ceil(1 / capacity) - 1);
-    for (long each = slot; each <= Math.max(slot, end); each++) {
-      int index = slotIndex(each);
+    for (long taken = slot; taken <= Math.max(slot, end); taken++) {
+      int index = slotIndex(taken);
       reservedInSlot[index]++;
-      reservedByShare[index][share]++;
+      reservedByGroupBucket[index][groupBucket]++;
     }
   }
 
@@ -125,7 +128,7 @@
     if (slotNumbers[index] != slot) {
       slotNumbers[index] = slot;
       reservedInSlot[index] = 0;
-      Arrays.fill(reservedByShare[index], 0);
+      Arrays.fill(reservedByGroupBucket[index], 0);
     }
     return index;
   }
--- a/router/src/main/java/rushwood/overload/RetryBudget.java
+++ b/router/src/main/java/rushwood/overload/RetryBudget.java
@@ -2,27 +2,26 @@
 
 /**
  * Limits retries to a share of the first attempts and a number a second that is always allowed: a
- * token bucket in which each first attempt puts a part of a token and each retry takes one.
+ * token bucket in which each first attempt puts a part of a token and each retry takes one. Times
+ * are clock times in nanoseconds.
  */
 final class RetryBudget {
-  // Two seconds of the constant rate may be saved: the failure of a host breaks many attempts at
-  // once.
-  private static final double SAVED_SECONDS = 2;
-  private static final double MIN_CAPACITY = 10;
+  // The failure of a host breaks many attempts at once.
+  private static final double BURST_SECONDS = 2;
+  private static final double MIN_BURST_TOKENS = 10;
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final long NEVER = Long.MIN_VALUE;
 
   private final double tokensPerFirstAttempt;
   private final double tokensPerSecond;
   private final double maxTokens;
   private double tokens;
-  private long refilledAt = NEVER;
+  private long refilledAt = Times.LONG_AGO;
 
   /** Creates a full bucket. */
   RetryBudget(double tokensPerFirstAttempt, double tokensPerSecond) {
     this.tokensPerFirstAttempt = tokensPerFirstAttempt;
     this.tokensPerSecond = tokensPerSecond;
-    maxTokens = Math.max(MIN_CAPACITY, tokensPerSecond * SAVED_SECONDS);
+    maxTokens = Math.max(MIN_BURST_TOKENS, tokensPerSecond * BURST_SECONDS);
     tokens = maxTokens;
   }
 
@@ -45,7 +44,7 @@
   }
 
   private void refill(long now) {
-    if (refilledAt != NEVER && now > refilledAt) {
+    if (refilledAt != Times.LONG_AGO && now > refilledAt) {
       tokens =
           Math.min(maxTokens, tokens + tokensPerSecond * (now - refilledAt) / NANOS_PER_SECOND);
     }
