--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -82,12 +82,12 @@
   }
 
   /** The state of the whole router. */
-  OverloadDetector.State state() {
+  OverloadState state() {
     return statistics.routerState();
   }
 
   /** The state of a group; normal if the endpoint list does not name it. */
-  OverloadDetector.State state(GroupId group) {
+  OverloadState state(GroupId group) {
     return statistics.groupState(group);
   }
 
@@ -244,7 +244,7 @@
     if (!overloadSettings.retryAfterSchedule()) {
       return defaultSignals.retryAfterNanos(now, request, othersWaiting);
     }
-    boolean isNormal = state(request.group()) == OverloadDetector.State.NORMAL;
+    boolean isNormal = state(request.group()) == OverloadState.NORMAL;
     if (!settings.canSendRetryAfter() || (!othersWaiting && isNormal)) {
       return 0;
     }
--- a/router/src/main/java/rushwood/overload/OverloadDetector.java
+++ b/router/src/main/java/rushwood/overload/OverloadDetector.java
@@ -1,38 +1,29 @@
 package rushwood.overload;
 
-import rushwood.api.LogLevel;
-
 /**
  * Tells from the rates of one router, group or host whether it is overloaded: requests are refused
- * and clients repeat them faster than they can be served.
+ * and clients repeat them faster than they can be served. High load alone is no overload: a peak of
+ * first requests leaves the state normal however high it is.
+ *
+ * <p>The state changes when a sign holds for several ticks in a row. Shares are of the arrivals,
+ * from smoothed rates:
  *
- * <p>High load alone is no overload: a peak of first requests leaves the state normal however high
- * it is. Each change of state needs its signs in several ticks in a row, and leaving a state needs
- * weaker rates than entering it (hysteresis).
+ * <ul>
+ *   <li>normal to rising: refused and repeated both above {@link #RISING_SHARE}, for {@link
+ *       #TICKS_TO_RISING};
+ *   <li>rising or recovering to overloaded: refused above {@link #OVERLOADED_REFUSED_SHARE} and
+ *       repeated above {@link #OVERLOADED_REPEATED_SHARE}, for {@link #TICKS_TO_OVERLOADED};
+ *   <li>rising to normal, and overloaded to recovering: not both above {@link #RISING_SHARE}, for
+ *       {@link #TICKS_TO_RECOVERING};
+ *   <li>recovering to normal: refused below {@link #RECOVERED_REFUSED_SHARE} and repeated below
+ *       {@link #RISING_SHARE}, for {@link #TICKS_TO_NORMAL}.
+ * </ul>
+ *
+ * <p>Leaving a state so needs weaker rates than entering it (hysteresis). With {@link
+ * #MIN_ARRIVALS_PER_TICK} or fewer arrivals a tick shares say nothing, and the state goes back to
+ * normal.
  */
 final class OverloadDetector {
-  /** The state of what is observed, from normal to overloaded and back. */
-  enum State {
-    /** Few requests are refused, or few of them are repeats. */
-    NORMAL,
-    /** Requests are refused and repeated more than chance and single clients explain. */
-    RISING,
-    /** A large share of the requests is refused and repeated. */
-    OVERLOADED,
-    /** Refusals have become rare, but clients may still come back. */
-    RECOVERING;
-
-    /** A change to this state is a fault while requests are refused and repeated. */
-    LogLevel logLevel() {
-      return this == RISING || this == OVERLOADED ? LogLevel.WARN : LogLevel.INFO;
-    }
-
-    /** Whether retries are limited by a budget in this state. */
-    boolean limitsRetries() {
-      return this == OVERLOADED || this == RECOVERING;
-    }
-  }
-
   /** The interval between two calls of {@link #tick}, in nanoseconds. */
   static final long TICK_NANOS = 100_000_000L;
 
@@ -44,18 +35,15 @@
   private static final double SMOOTHING_WEIGHT = 0.3;
   // What is left of the peak rate after a tick: half of it after 35 s.
   private static final double PEAK_DECAY = 0.998;
-  // Arrivals a tick up to which shares of them say nothing.
   private static final double MIN_ARRIVALS_PER_TICK = 1;
-  // Shares of the arrivals that are refused, and that are repeats: above both, overload is rising.
   private static final double RISING_SHARE = 0.1;
-  // Above both of these there is overload; then a request soon takes three tries.
+  // With so many refused and repeated a request soon takes three tries.
   private static final double OVERLOADED_REFUSED_SHARE = 0.3;
   private static final double OVERLOADED_REPEATED_SHARE = 0.25;
   private static final double RECOVERED_REFUSED_SHARE = 0.05;
   // One bad tick shows in the smoothed rates for three.
   private static final int TICKS_TO_RISING = 4;
   private static final int TICKS_TO_OVERLOADED = 3;
-  // From overloaded to recovering, and from rising back to normal.
   private static final int TICKS_TO_RECOVERING = 5;
   // The longest Retry-After has passed by then.
   private static final int TICKS_TO_NORMAL = 10;
@@ -70,7 +58,7 @@
   private double refused;
   private double completed;
   private double peakCompleted;
-  private State state = State.NORMAL;
+  private OverloadState state = OverloadState.NORMAL;
   private int worseTicks;
   private int betterTicks;
 
@@ -91,7 +79,7 @@
   }
 
   /** The state as of the last tick. */
-  State state() {
+  OverloadState state() {
     return state;
   }
 
@@ -108,7 +96,7 @@
   /** Ends a tick and returns whether the state changed. */
   boolean tick() {
     updateRates();
-    State next = nextState();
+    OverloadState next = nextState();
     boolean changed = next != state;
     if (changed) {
       worseTicks = 0;
@@ -130,37 +118,36 @@
     completedInTick = 0;
   }
 
-  private State nextState() {
+  private OverloadState nextState() {
     worseTicks = isWorse() ? worseTicks + 1 : 0;
     betterTicks = isBetter() ? betterTicks + 1 : 0;
     return switch (state) {
-      case NORMAL -> worseTicks >= TICKS_TO_RISING ? State.RISING : state;
-      case RISING -> overloadedOr(State.NORMAL, TICKS_TO_RECOVERING);
-      case OVERLOADED -> betterTicks >= TICKS_TO_RECOVERING ? State.RECOVERING : state;
-      case RECOVERING -> overloadedOr(State.NORMAL, TICKS_TO_NORMAL);
+      case NORMAL -> worseTicks >= TICKS_TO_RISING ? OverloadState.RISING : state;
+      case RISING -> overloadedOr(OverloadState.NORMAL, TICKS_TO_RECOVERING);
+      case OVERLOADED -> betterTicks >= TICKS_TO_RECOVERING ? OverloadState.RECOVERING : state;
+      case RECOVERING -> overloadedOr(OverloadState.NORMAL, TICKS_TO_NORMAL);
     };
   }
 
-  private State overloadedOr(State better, int ticksToBetter) {
+  private OverloadState overloadedOr(OverloadState better, int ticksToBetter) {
     if (worseTicks >= TICKS_TO_OVERLOADED) {
-      return State.OVERLOADED;
+      return OverloadState.OVERLOADED;
     }
     return betterTicks >= ticksToBetter ? better : state;
   }
 
   private boolean isWorse() {
-    return state == State.NORMAL
+    return state == OverloadState.NORMAL
         ? isAbove(RISING_SHARE, RISING_SHARE)
         : isAbove(OVERLOADED_REFUSED_SHARE, OVERLOADED_REPEATED_SHARE);
   }
 
   private boolean isBetter() {
-    boolean fewArrivals = arrivals <= MIN_ARRIVALS_PER_TICK;
-    boolean fewRefused = fewArrivals || refused < RECOVERED_REFUSED_SHARE * arrivals;
-    if (state == State.RECOVERING) {
-      return fewRefused && (fewArrivals || repeats < RISING_SHARE * arrivals);
+    if (state != OverloadState.RECOVERING) {
+      return !isAbove(RISING_SHARE, RISING_SHARE);
     }
-    return fewRefused || !isAbove(RISING_SHARE, RISING_SHARE);
+    return arrivals <= MIN_ARRIVALS_PER_TICK
+        || (refused < RECOVERED_REFUSED_SHARE * arrivals && repeats < RISING_SHARE * arrivals);
   }
 
   private boolean isAbove(double refusedShare, double repeatedShare) {
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -21,23 +21,6 @@
  * ignored.
  */
 final class OverloadStatistics {
-  /** What is known of a group. */
-  private static final class GroupStatistics {
-    private final OverloadDetector detector = new OverloadDetector();
-    private final RetryBudget retryBudget;
-    // Requests without an answer that no client has repeated yet, decaying.
-    private double unansweredRequests;
-
-    GroupStatistics(OverloadSettings settings) {
-      retryBudget =
-          new RetryBudget(settings.retriesPerFirstAttempt(), settings.minRetriesPerSecond());
-    }
-  }
-
-  // What is left of the unanswered requests after a tick: half in 1.4 s, by when most clients that
-  // come back have done so.
-  private static final double UNANSWERED_DECAY = 0.95;
-
   private final OverloadSettings settings;
   private final OverloadCounts counts;
   private final BiConsumer<LogLevel, String> log;
@@ -57,8 +40,8 @@
 
   void addHost(Endpoint endpoint) {
     groupByHost.put(endpoint.id(), endpoint.group());
-    groups.computeIfAbsent(endpoint.group(), each -> new GroupStatistics(settings));
-    hostDetectors.computeIfAbsent(endpoint.id(), each -> new OverloadDetector());
+    groups.computeIfAbsent(endpoint.group(), group -> new GroupStatistics(settings));
+    hostDetectors.computeIfAbsent(endpoint.id(), host -> new OverloadDetector());
   }
 
   /** Forgets a host, and its group with its last host. */
@@ -73,17 +56,17 @@
   /** The known hosts that are not in this list. */
   List<HostId> hostsMissingFrom(List<Endpoint> endpoints) {
     Set<HostId> listed = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
-    return groupByHost.keySet().stream().filter(each -> !listed.contains(each)).toList();
+    return groupByHost.keySet().stream().filter(host -> !listed.contains(host)).toList();
   }
 
-  OverloadDetector.State routerState() {
+  OverloadState routerState() {
     return routerDetector.state();
   }
 
   /** The state of a group, normal if it is not known. */
-  OverloadDetector.State groupState(GroupId id) {
+  OverloadState groupState(GroupId id) {
     GroupStatistics group = groups.get(id);
-    return group == null ? OverloadDetector.State.NORMAL : group.detector.state();
+    return group == null ? OverloadState.NORMAL : group.detector().state();
   }
 
   /** How many requests a second the hosts can be expected to serve. */
@@ -95,7 +78,7 @@
     routerDetector.recordArrival(repeated);
     GroupStatistics group = groups.get(id);
     if (group != null) {
-      group.detector.recordArrival(repeated);
+      group.detector().recordArrival(repeated);
     }
   }
 
@@ -103,7 +86,7 @@
     routerDetector.recordRefused();
     GroupStatistics group = groups.get(id);
     if (group != null) {
-      group.detector.recordRefused();
+      group.detector().recordRefused();
     }
   }
 
@@ -111,23 +94,14 @@
   void recordUnanswered(GroupId id) {
     GroupStatistics group = groups.get(id);
     if (group != null) {
-      group.unansweredRequests++;
+      group.unansweredRequests().add();
     }
   }
 
-  /**
-   * Takes one from the unanswered requests of the group, and returns whether there was one.
-   *
-   * <p>There cannot be more repeats than unanswered requests. Without this bound, many clients that
-   * read one key pass for repeats: with few keys 90% of the requests of a normal day did.
-   */
+  /** Takes one from the unanswered requests of the group, and returns whether there was one. */
   boolean takeUnanswered(GroupId id) {
     GroupStatistics group = groups.get(id);
-    if (group == null || group.unansweredRequests < 1) {
-      return false;
-    }
-    group.unansweredRequests--;
-    return true;
+    return group != null && group.unansweredRequests().take();
   }
 
   void recordOutcome(AttemptResult result) {
@@ -137,7 +111,7 @@
     GroupId id = groupByHost.get(result.host());
     GroupStatistics group = id == null ? null : groups.get(id);
     if (group != null) {
-      record(group.detector, succeeded, timedOut);
+      record(group.detector(), succeeded, timedOut);
     }
     OverloadDetector hostDetector = hostDetectors.get(result.host());
     if (hostDetector != null) {
@@ -160,7 +134,10 @@
 
   /** Whether the group may have a retry now; budgets count only while it is overloaded. */
   boolean isRetryAllowed(long now, GroupId id) {
-    return !groupState(id).limitsRetries() || groups.get(id).retryBudget.isRetryAllowed(now);
+    GroupStatistics group = groups.get(id);
+    return group == null
+        || !group.detector().state().limitsRetries()
+        || group.retryBudget().isRetryAllowed(now);
   }
 
   void recordAttempt(long now, GroupId id, boolean retry) {
@@ -169,9 +146,9 @@
       return;
     }
     if (retry) {
-      group.retryBudget.recordRetry(now);
+      group.retryBudget().recordRetry(now);
     } else {
-      group.retryBudget.recordFirstAttempt(now);
+      group.retryBudget().recordFirstAttempt(now);
     }
   }
 
@@ -180,8 +157,8 @@
     tick("router", routerDetector);
     groups.forEach(
         (id, group) -> {
-          group.unansweredRequests *= UNANSWERED_DECAY;
-          tick("group " + id, group.detector);
+          group.unansweredRequests().tick();
+          tick("group " + id, group.detector());
         });
     hostDetectors.forEach((id, detector) -> tick("host " + id, detector));
   }
--- a/router/src/test/java/rushwood/overload/OverloadControllerTest.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerTest.java
@@ -80,10 +80,8 @@
     }
     OverloadController controller = fixture.controller;
     assertEquals(
-        OverloadDetector.State.OVERLOADED,
-        controller.state(overloaded),
-        fixture.recorded().toString());
-    assertEquals(OverloadDetector.State.NORMAL, controller.state(unaffected));
+        OverloadState.OVERLOADED, controller.state(overloaded), fixture.recorded().toString());
+    assertEquals(OverloadState.NORMAL, controller.state(unaffected));
     assertTrue(controller.canRetry(fixture.now(), unaffected));
     for (int i = 0; i < 100; i++) {
       controller.attemptSent(fixture.now(), overloaded, true);
@@ -108,6 +106,6 @@
     }
     long repeats = fixture.controller.counts().repeatedRequests();
     assertTrue(repeats <= 50, repeats + " of 50 that had no answer");
-    assertEquals(OverloadDetector.State.NORMAL, fixture.controller.state());
+    assertEquals(OverloadState.NORMAL, fixture.controller.state());
   }
 }
