--- a/router/src/main/java/rushwood/dispatch/AttemptRunner.java
+++ b/router/src/main/java/rushwood/dispatch/AttemptRunner.java
@@ -13,14 +13,14 @@
   private final TimerQueue timers;
   private final Counters counters;
   private final ConnectionPool pool;
-  private final RequestTable requests;
+  private final InFlightRequests requests;
 
   AttemptRunner(
       EventLoopClock clock,
       TimerQueue timers,
       Counters counters,
       ConnectionPool pool,
-      RequestTable requests) {
+      InFlightRequests requests) {
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
--- a/router/src/main/java/rushwood/dispatch/ConnectionPool.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectionPool.java
@@ -41,7 +41,7 @@
 
   /** Adds a host or sets its address; one that is ready is not draining any more. */
   void updateEndpoint(HostId host, InetSocketAddress address, boolean ready) {
-    endpoints.computeIfAbsent(host, each -> new EndpointPool()).update(address, ready);
+    endpoints.computeIfAbsent(host, added -> new EndpointPool()).update(address, ready);
   }
 
   /** Stops the use of a host until it is listed as ready again. */
--- a/router/src/main/java/rushwood/dispatch/EndpointPool.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointPool.java
@@ -90,11 +90,11 @@
    * Those that are found to be broken, or idle for too long, are closed.
    */
   PooledConnection takeReusable(long now, long maxIdleNanos) {
-    for (Iterator<PooledConnection> each = idle.iterator(); each.hasNext(); ) {
-      PooledConnection connection = each.next();
+    for (Iterator<PooledConnection> connections = idle.iterator(); connections.hasNext(); ) {
+      PooledConnection connection = connections.next();
       long idleNanos = now - connection.idleSince();
       if (idleNanos >= REUSE_DELAY_NANOS) {
-        each.remove();
+        connections.remove();
         if (idleNanos < maxIdleNanos && connection.isOpen()) {
           return connection;
         }
--- a/router/src/main/java/rushwood/dispatch/RequestTable.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequests.java
@@ -9,7 +9,7 @@
 import rushwood.api.RoutingPolicy;
 
 /** The requests in flight, and the ids of those that finished a moment ago. */
-final class RequestTable {
+final class InFlightRequests {
   /** How many ids of finished requests are kept: those of some seconds. */
   private static final int MAX_RECENT_IDS = 2000;
 
@@ -19,7 +19,7 @@
   private final PolicyEventQueue events;
   private long unansweredCount;
 
-  RequestTable(Counters counters, PolicyEventQueue events) {
+  InFlightRequests(Counters counters, PolicyEventQueue events) {
     this.counters = counters;
     this.events = events;
   }
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -23,7 +23,7 @@
   private final Counters counters;
   private final ConnectionPool pool;
   private final PolicyEventQueue events;
-  private final RequestTable requests;
+  private final InFlightRequests requests;
   private final AttemptRunner attempts;
   private final HealthCheckRunner healthChecks;
   private final EndpointRegistry endpoints;
@@ -52,7 +52,7 @@
     this.logger = logger;
     pool = new ConnectionPool(connector, clock, timers, counters, settings);
     events = new PolicyEventQueue(counters);
-    requests = new RequestTable(counters, events);
+    requests = new InFlightRequests(counters, events);
     attempts = new AttemptRunner(clock, timers, counters, pool, requests);
     healthChecks =
         new HealthCheckRunner(
--- a/router/src/test/java/rushwood/protocol/TestMessages.java
+++ b/router/src/test/java/rushwood/protocol/TestMessages.java
@@ -67,7 +67,7 @@
   public static void assertAllReleased() {
     List<ByteBuf> allocated = List.copyOf(ALLOCATED);
     ALLOCATED.clear(); // also if the check fails: else all later tests would fail with it
-    allocated.forEach(each -> assertEquals(0, each.refCnt(), "a buffer was not released"));
+    allocated.forEach(buffer -> assertEquals(0, buffer.refCnt(), "a buffer was not released"));
   }
 
   public static byte[] concat(byte[]... parts) {
@@ -187,8 +187,8 @@
   public static void forEachFragmentation(byte[] bytes, Consumer<List<ByteBuf>> test) {
     test.accept(List.of(buffer(bytes)));
     List<ByteBuf> single = new ArrayList<>();
-    for (byte each : bytes) {
-      single.add(buffer(new byte[] {each}));
+    for (byte value : bytes) {
+      single.add(buffer(new byte[] {value}));
     }
     test.accept(single);
     for (int cut = 1; cut < bytes.length; cut++) {
