--- a/router/src/main/java/rushwood/dispatch/EventLoopClock.java
+++ b/router/src/main/java/rushwood/dispatch/EventLoopClock.java
@@ -6,9 +6,7 @@
 
 /**
  * Unix time in nanoseconds that never goes back and is read once in each turn of the event loop, so
- * that everything in one turn happens at the same time. The gaps between turns also show when the
- * process was paused, for example by the scheduler or a suspended machine. Used on the event loop's
- * thread only.
+ * that everything in one turn happens at the same time. Used on the event loop's thread only.
  */
 public final class EventLoopClock {
   /**
@@ -17,24 +15,17 @@
    */
   public static final long MAX_TURN_INTERVAL_NANOS = 20_000_000;
 
-  private static final long PAUSE_THRESHOLD_NANOS = 2 * MAX_TURN_INTERVAL_NANOS;
-
   /** By when sockets have been read after a pause, counted from its end. */
   private static final long READ_AFTER_PAUSE_NANOS = 20_000_000;
 
-  private static final long PAUSE_HALF_LIFE_NANOS = 10_000_000_000L;
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
-  private static final long NEVER = Long.MIN_VALUE;
+  private static final long BEFORE_FIRST_TURN = Long.MIN_VALUE;
 
   private final LongSupplier timeSource;
   private final Consumer<Runnable> runAtTurnEnd;
-  private long now = NEVER;
+  private final PauseDetector pauses = new PauseDetector();
+  private long now = BEFORE_FIRST_TURN;
   private boolean isCurrent;
-  private long pauseStart;
-  private long pauseEnd = NEVER;
-  private long longestPauseAtEnd;
-  private long turnGap;
-  private long previousTurnGap;
 
   /**
    * Creates a clock.
@@ -66,13 +57,7 @@
   }
 
   private void startTurn(long time) {
-    previousTurnGap = turnGap;
-    turnGap = now == NEVER ? 0 : time - now;
-    if (turnGap > PAUSE_THRESHOLD_NANOS) {
-      longestPauseAtEnd = Math.max(turnGap, recentLongestPause());
-      pauseStart = now;
-      pauseEnd = time;
-    }
+    pauses.turnStarted(now == BEFORE_FIRST_TURN ? time : now, time);
     now = time;
   }
 
@@ -83,10 +68,9 @@
    * second reads the sockets in no particular order. A task scheduled for later than {@link #now}
    * runs after both.
    */
-  public boolean isStale(long maxAgeNanos) {
-    long threshold = Math.max(PAUSE_THRESHOLD_NANOS, maxAgeNanos);
-    return timeSource.getAsLong() - now() > threshold
-        || Math.max(turnGap, previousTurnGap) > threshold;
+  public boolean canHaveUnreadInput(long maxAgeNanos) {
+    long time = timeSource.getAsLong();
+    return pauses.hasPausedInLastTurns(maxAgeNanos, time - now());
   }
 
   /**
@@ -94,11 +78,7 @@
    * exponentially with a half-life of ten seconds.
    */
   public long recentLongestPause() {
-    if (longestPauseAtEnd == 0) {
-      return 0;
-    }
-    double halfLives = (double) (now - pauseEnd) / PAUSE_HALF_LIFE_NANOS;
-    return (long) (longestPauseAtEnd * Math.pow(0.5, halfLives));
+    return pauses.recentLongest(now);
   }
 
   /**
@@ -111,6 +91,6 @@
 
   /** Like {@link #earliestArrival()}, for input that takes up to {@code delayNanos} to get here. */
   public long earliestArrival(long delayNanos) {
-    return now() <= pauseEnd + delayNanos ? pauseStart : now;
+    return pauses.startOfPauseWithin(delayNanos, now());
   }
 }
--- /dev/null
+++ b/router/src/main/java/rushwood/dispatch/PauseDetector.java
@@ -0,0 +1,57 @@
+package rushwood.dispatch;
+
+/**
+ * Finds the pauses of this process, for example by the scheduler or a suspended machine, as long
+ * gaps between two turns of the event loop. Times are Unix times in nanoseconds.
+ */
+final class PauseDetector {
+  /** Turns come often enough that a longer gap is a pause, not idleness. */
+  private static final long PAUSE_THRESHOLD_NANOS = 2 * EventLoopClock.MAX_TURN_INTERVAL_NANOS;
+
+  private static final long PAUSE_HALF_LIFE_NANOS = 10_000_000_000L;
+
+  /** Earlier than any time, also with a delay added to it. */
+  private static final long NEVER = Long.MIN_VALUE;
+
+  private long pauseStart;
+  private long pauseEnd = NEVER;
+  private long longestPauseAtEnd;
+  private long turnGap;
+  private long previousTurnGap;
+
+  /** A turn begins; the one before it began at {@code previous}. */
+  void turnStarted(long previous, long now) {
+    previousTurnGap = turnGap;
+    turnGap = now - previous;
+    if (turnGap > PAUSE_THRESHOLD_NANOS) {
+      longestPauseAtEnd = Math.max(turnGap, recentLongest(previous));
+      pauseStart = previous;
+      pauseEnd = now;
+    }
+  }
+
+  /**
+   * Whether the process was paused for longer than {@code nanos} within this turn, or before this
+   * turn or the one before it. Gaps up to the threshold of a pause never count.
+   *
+   * @param turnNanos how long this turn has lasted
+   */
+  boolean hasPausedInLastTurns(long nanos, long turnNanos) {
+    long longest = Math.max(turnNanos, Math.max(turnGap, previousTurnGap));
+    return longest > Math.max(PAUSE_THRESHOLD_NANOS, nanos);
+  }
+
+  /** The longest pause in nanoseconds, halved for each ten seconds since it ended; 0 for none. */
+  long recentLongest(long now) {
+    if (longestPauseAtEnd == 0) {
+      return 0;
+    }
+    double halfLives = (double) (now - pauseEnd) / PAUSE_HALF_LIFE_NANOS;
+    return (long) (longestPauseAtEnd * Math.pow(0.5, halfLives));
+  }
+
+  /** The start of the last pause if it ended {@code nanos} ago or less, else {@code now}. */
+  long startOfPauseWithin(long nanos, long now) {
+    return now <= pauseEnd + nanos ? pauseStart : now;
+  }
+}
--- a/router/src/main/java/rushwood/dispatch/PooledConnection.java
+++ b/router/src/main/java/rushwood/dispatch/PooledConnection.java
@@ -95,7 +95,7 @@
    */
   private void writeOrDefer() {
     long drainGraceShare = context.settings().drainGraceNanos() / DRAIN_GRACE_DIVISOR;
-    if (context.clock().isStale(Math.min(drainGraceShare, MAX_UNREAD_NANOS))) {
+    if (context.clock().canHaveUnreadInput(Math.min(drainGraceShare, MAX_UNREAD_NANOS))) {
       context.counters().increment(Counter.ATTEMPTS_DEFERRED);
       context.timers().schedule(now() + 1, this::writeDeferred);
     } else {
