--- a/router/src/main/java/rushwood/dispatch/Counter.java
+++ b/router/src/main/java/rushwood/dispatch/Counter.java
@@ -9,15 +9,15 @@
 public enum Counter {
   /** Client connections that were accepted. */
   CLIENTS_ACCEPTED,
-  /** Client connections that were turned away or closed for exceeding a limit. */
+  /** Client connections that were refused, or closed as they exceeded a limit. */
   CLIENTS_REFUSED,
   /** Client connections that ended, for whatever reason. */
   CLIENTS_CLOSED,
-  /** Idle client connections that were closed to make room for others. */
+  /** Idle client connections that were closed to free their file descriptors. */
   CLIENTS_EVICTED,
   /** Those of {@link #CLIENTS_EVICTED} that had never had an answer. */
   CLIENTS_EVICTED_UNANSWERED,
-  /** Client connections that were closed for being silent or leaving a message half written. */
+  /** Client connections that were closed as the rest of a message did not come in time. */
   CLIENTS_TIMED_OUT,
   /** Statements and messages from clients that are not accepted; no host saw them. */
   STATEMENTS_REJECTED,
@@ -26,11 +26,11 @@
   REQUESTS_RECEIVED,
   /** Requests that were answered with a row. */
   REQUESTS_SUCCEEDED,
-  /** Requests that were answered with "safe to try again". */
+  /** Requests that were rejected: they did not run, and trying again is harmless. */
   REQUESTS_REJECTED,
-  /** Requests that were answered with an error that promises nothing. */
+  /** Requests that failed: they may or may not have run. */
   REQUESTS_FAILED,
-  /** Requests whose client disconnected or cancelled them before it had an answer. */
+  /** Requests whose client disconnected or cancelled them before the final response. */
   REQUESTS_CANCELLED,
 
   /** Attempts that the routing policy asked for, sent or not. */
@@ -56,11 +56,12 @@
   /** Attempts that ended with {@link AttemptOutcome#NOT_SENT}. */
   ATTEMPTS_NOT_SENT,
   /**
-   * Attempts and health checks that were not written since their host drains, their client has left
-   * or their time to be written had passed. Attempts among them count as not sent as well.
+   * Attempts and health checks that the {@link WriteGate} withheld: their host drains, their client
+   * has left, or their time to be written had passed. Attempts among them count as not sent as
+   * well.
    */
   ATTEMPTS_WITHHELD,
-  /** Attempts and health checks that were written one event loop turn late, after a pause. */
+  /** Attempts and health checks that the {@link WriteGate} deferred, after a pause. */
   ATTEMPTS_DEFERRED,
 
   /** Health checks that the routing policy asked for. */
@@ -68,19 +69,19 @@
   /** Health checks that a host answered. */
   PROBES_ANSWERED,
 
-  /** Connections to hosts that were begun. */
+  /** Connections to hosts that the router began to open. */
   CONNECTIONS_OPENED,
   /** Uses of an idle connection to a host. */
   CONNECTIONS_REUSED,
-  /** Connections to hosts that did not come up. */
+  /** Connections to hosts that were refused or reset at once, or did not come up in time. */
   CONNECTIONS_FAILED,
   /** Connections to hosts that ended, for whatever reason. */
   CONNECTIONS_CLOSED,
-  /** Connections that were not begun, as the connect backoff did not allow them. */
+  /** Connections to hosts that were not begun: the connect backoff did not allow them. */
   CONNECTS_SUPPRESSED,
-  /** Messages from hosts that violate the protocol. */
+  /** Messages from hosts that violate the protocol; each ends its connection. */
   BACKEND_PROTOCOL_ERRORS,
-  /** Responses from hosts that were followed by more than belongs to them. */
+  /** Responses from hosts that were followed by excess data; each ends its connection. */
   BACKEND_EXCESS_DATA,
 
   /** Endpoint lists that were received whole. */
--- a/router/src/main/java/rushwood/dispatch/EndpointRegistry.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointRegistry.java
@@ -60,7 +60,7 @@
     for (PartialEndpoint partial : partials) {
       EndpointAddress known = endpoints.get(partial.id());
       if (known != null) {
-        completed.add(partial.hasState() ? known.withState(partial.state()) : known);
+        completed.add(partial.update(known));
       }
     }
     return completed;
--- a/router/src/main/java/rushwood/dispatch/InFlightRequest.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequest.java
@@ -2,6 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.RequestId;
 
 /** A request that still waits for its final response or for an attempt to end. */
@@ -9,7 +11,7 @@
   private final RequestId id;
   private final Statement statement;
   private final List<AttemptExchange> attempts = new ArrayList<>();
-  private ClientResponder responder;
+  private @Nullable ClientResponder responder;
   private int attemptsInFlight;
 
   InFlightRequest(RequestId id, Statement statement, ClientResponder responder) {
@@ -57,9 +59,13 @@
     return isAnswered() && attemptsInFlight == 0;
   }
 
-  /** Marks the request as answered and returns what sends the final response. */
+  /**
+   * Marks the request as answered and returns what sends the final response.
+   *
+   * @throws NullPointerException if it was answered before
+   */
   ClientResponder takeResponder() {
-    ClientResponder taken = responder;
+    ClientResponder taken = Objects.requireNonNull(responder, "a request is answered once");
     responder = null;
     return taken;
   }
--- a/router/src/main/java/rushwood/dispatch/InFlightRequests.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequests.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.RequestId;
 import rushwood.api.RoutingPolicy;
 
@@ -32,13 +33,13 @@
     return request;
   }
 
-  /** The request of that id, null if it is not in flight. */
-  InFlightRequest find(RequestId id) {
+  /** The request of that id, if it is in flight. */
+  @Nullable InFlightRequest find(RequestId id) {
     return requests.get(id);
   }
 
-  /** The request of that id, null unless it is in flight and waits for its final response. */
-  InFlightRequest findUnanswered(RequestId id) {
+  /** The request of that id, if it is in flight and waits for its final response. */
+  @Nullable InFlightRequest findUnanswered(RequestId id) {
     InFlightRequest request = requests.get(id);
     return request == null || request.isAnswered() ? null : request;
   }
--- a/router/src/main/java/rushwood/dispatch/PartialEndpoint.java
+++ b/router/src/main/java/rushwood/dispatch/PartialEndpoint.java
@@ -1,5 +1,6 @@
 package rushwood.dispatch;
 
+import org.jspecify.annotations.Nullable;
 import rushwood.api.Endpoint;
 import rushwood.api.HostId;
 
@@ -7,12 +8,12 @@
  * What can be read of a list entry that is malformed as a whole.
  *
  * @param id the host that the entry names
- * @param state the host's lifecycle state, or null if it cannot be read
+ * @param state the host's lifecycle state, if it can be read
  */
-public record PartialEndpoint(HostId id, Endpoint.State state) {
+public record PartialEndpoint(HostId id, Endpoint.@Nullable State state) {
 
-  /** Whether the lifecycle state could be read; if not, the host keeps the state that it has. */
-  boolean hasState() {
-    return state != null;
+  /** What is known of the host, in the state that could be read; if none could, in its old one. */
+  EndpointAddress update(EndpointAddress known) {
+    return state == null ? known : known.withState(state);
   }
 }
--- a/router/src/main/java/rushwood/dispatch/PolicyEventQueue.java
+++ b/router/src/main/java/rushwood/dispatch/PolicyEventQueue.java
@@ -2,7 +2,9 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.Objects;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.RoutingPolicy;
 
 /**
@@ -12,7 +14,7 @@
 final class PolicyEventQueue {
   private final Deque<Consumer<RoutingPolicy>> pending = new ArrayDeque<>();
   private final Counters counters;
-  private RoutingPolicy policy;
+  private @Nullable RoutingPolicy policy;
   private boolean isDelivering;
 
   PolicyEventQueue(Counters counters) {
@@ -39,8 +41,9 @@
   }
 
   private void deliverPending() {
+    RoutingPolicy attached = Objects.requireNonNull(policy, "attach comes before the first event");
     for (var event = pending.poll(); event != null; event = pending.poll()) {
-      counters.runSafely(event, policy);
+      counters.runSafely(event, attached);
     }
   }
 }
--- a/router/src/main/java/rushwood/dispatch/TimerQueue.java
+++ b/router/src/main/java/rushwood/dispatch/TimerQueue.java
@@ -1,6 +1,7 @@
 package rushwood.dispatch;
 
 import java.util.PriorityQueue;
+import org.jspecify.annotations.Nullable;
 
 /**
  * The scheduled tasks of one router, run from a single timer in the order of their due times; tasks
@@ -18,7 +19,7 @@
   public static final class ScheduledTask implements Comparable<ScheduledTask> {
     private final long dueAt;
     private final long sequence;
-    private Runnable task;
+    private @Nullable Runnable task;
 
     private ScheduledTask(long dueAt, long sequence, Runnable task) {
       this.dueAt = dueAt;
@@ -39,8 +40,8 @@
       return task != null;
     }
 
-    /** The task, to be run once; null if it was run or cancelled. */
-    private Runnable take() {
+    /** The task, to be run once, unless it was run or cancelled before. */
+    private @Nullable Runnable take() {
       Runnable taken = task;
       task = null;
       return taken;
