--- a/router/src/main/java/rushwood/dispatch/AttemptExchange.java
+++ b/router/src/main/java/rushwood/dispatch/AttemptExchange.java
@@ -1,6 +1,7 @@
 package rushwood.dispatch;
 
 import io.netty.buffer.ByteBuf;
+import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
 import rushwood.api.HostId;
 
@@ -13,18 +14,20 @@
   private final int attemptNumber;
   private final long startedAt;
   private final long timeoutNanos;
-  private TimerQueue.ScheduledTask timeout;
+  private final TimerQueue.ScheduledTask timeout;
 
   /**
-   * Creates an attempt.
+   * Creates the next attempt of a request, which stops by itself at its timeout.
    *
    * @param runner what is told of the end of the attempt
+   * @param timers runs the timeout
    * @param startedAt the current time
    * @param timeoutNanos how long the response is waited for
    * @param startWithinNanos within which time the statement may be written
    */
   AttemptExchange(
       AttemptRunner runner,
+      TimerQueue timers,
       InFlightRequest request,
       HostId host,
       long startedAt,
@@ -36,17 +39,13 @@
     this.attemptNumber = request.attemptCount();
     this.startedAt = startedAt;
     this.timeoutNanos = timeoutNanos;
+    timeout = timers.schedule(startedAt + timeoutNanos, () -> stop(AttemptOutcome.TIMED_OUT));
   }
 
   InFlightRequest request() {
     return request;
   }
 
-  /** Sets the task that ends the attempt in time. */
-  void setTimeout(TimerQueue.ScheduledTask task) {
-    timeout = task;
-  }
-
   /** The result as of now. */
   AttemptResult toResult(BackendResponse response, long now) {
     return new AttemptResult(
--- a/router/src/main/java/rushwood/dispatch/AttemptRunner.java
+++ b/router/src/main/java/rushwood/dispatch/AttemptRunner.java
@@ -13,6 +13,7 @@
   private final TimerQueue timers;
   private final Counters counters;
   private final ConnectionPool pool;
+  private final WriteGate writeGate;
   private final InFlightRequests requests;
 
   AttemptRunner(
@@ -20,11 +21,13 @@
       TimerQueue timers,
       Counters counters,
       ConnectionPool pool,
+      WriteGate writeGate,
       InFlightRequests requests) {
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
     this.pool = pool;
+    this.writeGate = writeGate;
     this.requests = requests;
   }
 
@@ -37,25 +40,21 @@
   void start(InFlightRequest request, HostId host, long timeoutNanos, long startWithinNanos) {
     long now = clock.now();
     AttemptExchange attempt =
-        new AttemptExchange(this, request, host, now, timeoutNanos, startWithinNanos);
+        new AttemptExchange(this, timers, request, host, now, timeoutNanos, startWithinNanos);
     request.addAttempt(attempt);
     counters.increment(Counter.ATTEMPTS_STARTED);
-    attempt.setTimeout(
-        timers.schedule(now + timeoutNanos, () -> attempt.stop(AttemptOutcome.TIMED_OUT)));
-    if (timeoutNanos <= 0 || !pool.execute(attempt)) {
+    if (timeoutNanos > 0) {
+      pool.execute(attempt);
+    } else {
       attempt.complete(BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
     }
   }
 
-  /**
-   * Ends the attempts of a request that have not been written. Nobody waits for them any more, so
-   * this is done whether or not hosts can be told to stop what they have begun.
-   */
+  /** Withholds the attempts of a request that have not been written: its client has left. */
   void withholdUnwritten(InFlightRequest request) {
     for (AttemptExchange attempt : List.copyOf(request.attempts())) {
       if (!attempt.isCompleted() && !attempt.isAwaitingResponse()) {
-        counters.increment(Counter.ATTEMPTS_WITHHELD);
-        attempt.stop(AttemptOutcome.CANCELLED);
+        attempt.abort(writeGate.withhold());
       }
     }
   }
@@ -68,7 +67,7 @@
     counters.checkInvariant(request.attemptsInFlight() >= 0, "an attempt ends once");
     if (response.outcome() == AttemptOutcome.SUCCESS && !request.isAnswered()) {
       counters.increment(Counter.REQUESTS_SUCCEEDED);
-      requests.markAnswered(request).sendResult(response.row());
+      requests.markAnswered(request).sendResult(response.requireRow());
     } else {
       response.release();
     }
--- a/router/src/main/java/rushwood/dispatch/ConnectionPool.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectionPool.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import rushwood.api.AttemptOutcome;
 import rushwood.api.HostId;
 
 /**
@@ -10,16 +11,31 @@
  * recently used first, and closed before the host closes them.
  */
 final class ConnectionPool {
+  /** Whether an exchange was given to a connection, and if not, why. */
+  private enum StartResult {
+    /** It is on an idle connection or on a new one. */
+    STARTED,
+    /** The endpoint list does not name its host: a fault of the program. */
+    HOST_NOT_LISTED,
+    /** The {@link WriteGate} withholds it. */
+    WITHHELD,
+    /** No idle connection, and the connect backoff allows no new one. */
+    CONNECT_BACKOFF,
+    /** No idle connection, and no file descriptor for a new one. */
+    NO_DESCRIPTOR
+  }
+
   private static final long SWEEP_INTERVAL_NANOS = 1_000_000_000L;
 
   private final Map<HostId, EndpointPool> endpoints = new LinkedHashMap<>();
+  private final BackendConnection.Connector connector;
   private final EventLoopClock clock;
   private final TimerQueue timers;
   private final Counters counters;
-  private final ConnectionSettings settings;
-  private final IdleLimit idleLimit;
+  private final ConnectAttempts connectAttempts;
+  private final WriteGate writeGate;
   private final OpenConnections openConnections;
-  private final PoolContext context;
+  private final IdleLimit idleLimit;
 
   /** Creates an empty pool, which from now on closes idle connections by a timer. */
   ConnectionPool(
@@ -27,21 +43,26 @@
       EventLoopClock clock,
       TimerQueue timers,
       Counters counters,
+      WriteGate writeGate,
       ConnectionSettings settings) {
+    this.connector = connector;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
-    this.settings = settings;
+    this.writeGate = writeGate;
+    connectAttempts =
+        new ConnectAttempts(
+            settings.backoff(), clock, timers, counters, settings.connectTimeoutNanos());
+    openConnections = new OpenConnections(settings.descriptors(), clock, counters);
     idleLimit = new IdleLimit(settings.hostIdleTimeoutNanos());
-    openConnections = new OpenConnections(settings.descriptors(), clock);
-    context =
-        new PoolContext(connector, clock, timers, counters, settings, idleLimit, openConnections);
     scheduleSweep();
   }
 
   /** Adds a host or sets its address; one that is ready is not draining any more. */
   void updateEndpoint(HostId host, InetSocketAddress address, boolean ready) {
-    endpoints.computeIfAbsent(host, added -> new EndpointPool()).update(address, ready);
+    endpoints
+        .computeIfAbsent(host, added -> new EndpointPool(host, address))
+        .update(address, ready);
   }
 
   /** Stops the use of a host until it is listed as ready again. */
@@ -65,50 +86,58 @@
   }
 
   /**
-   * Runs an exchange on an idle connection or a new one.
-   *
-   * @return false if no connection may be used or opened, and the exchange was not taken
+   * Runs an exchange on an idle connection or a new one. One that cannot start ends at once, as
+   * {@link AttemptOutcome#NOT_SENT}.
    */
-  boolean execute(Exchange exchange) {
+  void execute(Exchange exchange) {
+    switch (start(exchange)) {
+      case STARTED -> {}
+      case WITHHELD -> exchange.complete(writeGate.withhold());
+      case HOST_NOT_LISTED, CONNECT_BACKOFF, NO_DESCRIPTOR ->
+          exchange.complete(BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
+    }
+  }
+
+  private StartResult start(Exchange exchange) {
     EndpointPool endpoint = endpoints.get(exchange.host());
-    if (!counters.checkInvariant(endpoint != null, "exchanges go to listed hosts")) {
-      return false;
+    counters.checkInvariant(endpoint != null, "exchanges go to listed hosts");
+    if (endpoint == null) {
+      return StartResult.HOST_NOT_LISTED;
     }
-    if (endpoint.isDraining()) {
-      counters.increment(Counter.ATTEMPTS_WITHHELD);
-      return false;
+    if (writeGate.decideAtStart(endpoint) == WriteGate.Decision.WITHHOLD) {
+      return StartResult.WITHHELD;
     }
     PooledConnection reusable = endpoint.takeReusable(clock.now(), idleLimit.nanos());
     if (reusable != null) {
       counters.increment(Counter.CONNECTIONS_REUSED);
       reusable.reuse(exchange);
-      return true;
+      return StartResult.STARTED;
     }
-    if (!canConnect(exchange)) {
-      return false;
+    if (!connectAttempts.isAllowed(exchange)) {
+      counters.increment(Counter.CONNECTS_SUPPRESSED);
+      return StartResult.CONNECT_BACKOFF;
     }
-    counters.increment(Counter.CONNECTIONS_OPENED);
-    new PooledConnection(context, exchange.host(), endpoint).connect(exchange);
-    return true;
+    if (openConnections.isAtLimit() && !closeOldestIdle()) {
+      return StartResult.NO_DESCRIPTOR;
+    }
+    openConnection(endpoint).connect(connector, exchange);
+    return StartResult.STARTED;
   }
 
-  /** Health checks are exempt from the connect backoff: the routing policy limits them itself. */
-  private boolean canConnect(Exchange exchange) {
-    if (!exchange.isHealthCheck()
-        && !settings.backoff().isAttemptAllowed(exchange.host(), clock.now())) {
-      counters.increment(Counter.CONNECTS_SUPPRESSED);
-      return false;
-    }
-    return !openConnections.isAtLimit() || closeOldestIdle();
+  private PooledConnection openConnection(EndpointPool endpoint) {
+    return new PooledConnection(
+        endpoint, connectAttempts, writeGate, openConnections, idleLimit, clock, counters);
   }
 
+  /** Closes the connection that has been idle for longest; returns whether there was one. */
   private boolean closeOldestIdle() {
     EndpointPool owner = null;
+    long oldestSince = Long.MAX_VALUE;
     for (EndpointPool endpoint : endpoints.values()) {
       PooledConnection candidate = endpoint.oldestIdle();
-      if (candidate != null
-          && (owner == null || candidate.idleSince() < owner.oldestIdle().idleSince())) {
+      if (candidate != null && candidate.idleSince() < oldestSince) {
         owner = endpoint;
+        oldestSince = candidate.idleSince();
       }
     }
     if (owner == null) {
--- a/router/src/main/java/rushwood/dispatch/EndpointPool.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointPool.java
@@ -7,14 +7,15 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import org.jspecify.annotations.Nullable;
+import rushwood.api.HostId;
 
 /** The connections to one host. */
 final class EndpointPool {
   /**
    * How long a connection is left idle before it is used again. What a host does right after a
    * response, such as a close or excess data, would otherwise be taken for the response to the next
-   * statement. On loopback and within a data centre it arrives within a millisecond. Costs a few
-   * more connections to each host.
+   * statement. On loopback and within a data centre it arrives within a millisecond.
    */
   private static final long REUSE_DELAY_NANOS = 2_000_000L;
 
@@ -24,9 +25,15 @@
   /** Connections with an exchange of which nothing has been written. */
   private final Set<PooledConnection> awaitingWrite = new LinkedHashSet<>();
 
+  private final HostId host;
   private InetSocketAddress address;
   private boolean isDraining;
 
+  EndpointPool(HostId host, InetSocketAddress address) {
+    this.host = host;
+    this.address = address;
+  }
+
   /**
    * Sets the host's address; idle connections to another one are closed.
    *
@@ -40,6 +47,10 @@
     }
   }
 
+  HostId host() {
+    return host;
+  }
+
   InetSocketAddress address() {
     return address;
   }
@@ -60,7 +71,7 @@
   void startDraining() {
     isDraining = true;
     closeIdle();
-    List.copyOf(awaitingWrite).forEach(PooledConnection::withhold);
+    List.copyOf(awaitingWrite).forEach(PooledConnection::withholdAndClose);
   }
 
   void closeIdle() {
@@ -86,10 +97,10 @@
   }
 
   /**
-   * Takes out the most recently used connection that can be used again; null if there is none.
-   * Those that are found to be broken, or idle for too long, are closed.
+   * Takes out the most recently used connection that can be used again, if there is one. Those that
+   * are found to be broken, or idle for too long, are closed.
    */
-  PooledConnection takeReusable(long now, long maxIdleNanos) {
+  @Nullable PooledConnection takeReusable(long now, long maxIdleNanos) {
     for (Iterator<PooledConnection> connections = idle.iterator(); connections.hasNext(); ) {
       PooledConnection connection = connections.next();
       long idleNanos = now - connection.idleSince();
@@ -104,8 +115,8 @@
     return null;
   }
 
-  /** The connection that has been idle for longest, null if none is idle. */
-  PooledConnection oldestIdle() {
+  /** The connection that has been idle for longest, if any is idle. */
+  @Nullable PooledConnection oldestIdle() {
     return idle.peekLast();
   }
 
--- a/router/src/main/java/rushwood/dispatch/Exchange.java
+++ b/router/src/main/java/rushwood/dispatch/Exchange.java
@@ -1,6 +1,7 @@
 package rushwood.dispatch;
 
 import io.netty.buffer.ByteBuf;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.HostId;
 
@@ -15,8 +16,8 @@
 
   private final HostId host;
   private final long writeDeadline;
-  private PooledConnection connection;
-  private boolean completed;
+  private @Nullable PooledConnection connection;
+  private boolean isCompleted;
 
   /**
    * Creates an exchange that is not on a connection yet.
@@ -51,7 +52,7 @@
   }
 
   boolean isCompleted() {
-    return completed;
+    return isCompleted;
   }
 
   /** Puts the exchange on a connection. */
@@ -66,11 +67,11 @@
 
   /** Ends the exchange; later responses are released and otherwise ignored. */
   final void complete(BackendResponse response) {
-    if (completed) {
+    if (isCompleted) {
       response.release();
       return;
     }
-    completed = true;
+    isCompleted = true;
     onCompleted(response);
   }
 
@@ -79,13 +80,17 @@
    * if the statement was written, else that it was not sent: such a statement cannot have run.
    */
   final void stop(AttemptOutcome outcome) {
-    if (completed) {
-      return;
+    if (!isCompleted) {
+      AttemptOutcome actual = isAwaitingResponse() ? outcome : AttemptOutcome.NOT_SENT;
+      abort(BackendResponse.withoutRow(actual));
     }
-    AttemptOutcome actual = isAwaitingResponse() ? outcome : AttemptOutcome.NOT_SENT;
+  }
+
+  /** Ends the exchange with that response in place of the host's. */
+  final void abort(BackendResponse response) {
     if (connection != null) {
       connection.abandonExchange();
     }
-    complete(BackendResponse.withoutRow(actual));
+    complete(response);
   }
 }
--- a/router/src/main/java/rushwood/dispatch/HealthCheckRunner.java
+++ b/router/src/main/java/rushwood/dispatch/HealthCheckRunner.java
@@ -45,9 +45,7 @@
     counters.increment(Counter.PROBES_SENT);
     HealthCheckExchange healthCheck = new HealthCheckExchange(host);
     timers.schedule(clock.now() + timeoutNanos, () -> healthCheck.stop(AttemptOutcome.TIMED_OUT));
-    if (!pool.execute(healthCheck)) {
-      healthCheck.complete(BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
-    }
+    pool.execute(healthCheck);
   }
 
   private final class HealthCheckExchange extends Exchange {
--- a/router/src/main/java/rushwood/dispatch/PooledConnection.java
+++ b/router/src/main/java/rushwood/dispatch/PooledConnection.java
@@ -1,8 +1,9 @@
 package rushwood.dispatch;
 
 import java.net.InetSocketAddress;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
-import rushwood.api.HostId;
 
 /**
  * One connection of the pool and the exchange that it carries. It is opened for a first exchange,
@@ -22,41 +23,47 @@
     CLOSED
   }
 
-  /**
-   * How long the sockets of clients may go unread before a write: nothing is to be written later
-   * than 0.1 s after its client disconnected, and this is half of that.
-   */
-  private static final long MAX_UNREAD_NANOS = 50_000_000L;
-
-  /** The part of the drain grace for which discovery's socket may go unread before a write. */
-  private static final int DRAIN_GRACE_DIVISOR = 4;
-
-  private final PoolContext context;
-  private final HostId host;
   private final EndpointPool endpoint;
+  private final WriteGate writeGate;
+  private final OpenConnections openConnections;
+  private final IdleLimit idleLimit;
+  private final EventLoopClock clock;
+  private final Counters counters;
   private final InetSocketAddress address;
+  private final ConnectAttempts.ConnectAttempt connectAttempt;
   private State state = State.CONNECTING;
-  private BackendConnection backend;
-  private Exchange exchange;
-  private TimerQueue.ScheduledTask connectTimeout;
+  private @Nullable BackendConnection backend;
+  private @Nullable Exchange exchange;
   private long idleSince;
   private long idleBeforeUseNanos;
 
   /** Counts as open from now on; {@link #connect} has to follow. */
-  PooledConnection(PoolContext context, HostId host, EndpointPool endpoint) {
-    this.context = context;
-    this.host = host;
+  PooledConnection(
+      EndpointPool endpoint,
+      ConnectAttempts connectAttempts,
+      WriteGate writeGate,
+      OpenConnections openConnections,
+      IdleLimit idleLimit,
+      EventLoopClock clock,
+      Counters counters) {
     this.endpoint = endpoint;
+    this.writeGate = writeGate;
+    this.openConnections = openConnections;
+    this.idleLimit = idleLimit;
+    this.clock = clock;
+    this.counters = counters;
     address = endpoint.address();
-    context.openConnections().opened();
+    openConnections.opened();
+    connectAttempt = connectAttempts.start(endpoint.host(), this::connectTimedOut);
   }
 
   boolean isAwaitingResponse() {
     return state == State.AWAITING_RESPONSE;
   }
 
+  /** Whether the connection is up and can carry the next exchange. */
   boolean isOpen() {
-    return backend.isOpen();
+    return backend().isOpen();
   }
 
   /** When the connection became idle; meaningful while it is idle only. */
@@ -65,20 +72,17 @@
   }
 
   /** Opens the connection for its first exchange. */
-  void connect(Exchange firstExchange) {
+  void connect(BackendConnection.Connector connector, Exchange firstExchange) {
     assign(firstExchange);
-    context.settings().backoff().attemptStarted(host);
-    long timeoutAt = now() + context.settings().connectTimeoutNanos();
-    connectTimeout = context.timers().schedule(timeoutAt, this::connectTimedOut);
-    backend = context.connector().connect(address, this);
+    backend = connector.connect(address, this);
   }
 
   /** Uses the connection, which was idle and has been taken out of the pool, once more. */
   void reuse(Exchange nextExchange) {
-    idleBeforeUseNanos = now() - idleSince;
+    idleBeforeUseNanos = clock.now() - idleSince;
     state = State.ASSIGNED;
     assign(nextExchange);
-    writeOrDefer();
+    writeAsDecided(nextExchange, writeGate.decideWhenReady(nextExchange));
   }
 
   private void assign(Exchange assigned) {
@@ -87,19 +91,11 @@
     endpoint.addAwaitingWrite(this);
   }
 
-  /**
-   * Writes the exchange, unless the process was paused. During a pause a drain of the host or the
-   * end of the client may have arrived that was not read before this exchange was chosen. The next
-   * turn of the event loop reads all sockets, in no particular order; so the exchange is written in
-   * the turn after that one, if its host and client are still there.
-   */
-  private void writeOrDefer() {
-    long drainGraceShare = context.settings().drainGraceNanos() / DRAIN_GRACE_DIVISOR;
-    if (context.clock().canHaveUnreadInput(Math.min(drainGraceShare, MAX_UNREAD_NANOS))) {
-      context.counters().increment(Counter.ATTEMPTS_DEFERRED);
-      context.timers().schedule(now() + 1, this::writeDeferred);
-    } else {
-      write();
+  private void writeAsDecided(Exchange ready, WriteGate.Decision decision) {
+    switch (decision) {
+      case WRITE -> write(ready);
+      case DEFER -> writeGate.defer(this::writeDeferred);
+      case WITHHOLD -> withholdAndBecomeIdle();
     }
   }
 
@@ -110,31 +106,28 @@
     if (exchange == null) {
       becomeIdle();
     } else {
-      write();
+      writeAsDecided(exchange, writeGate.decideAfterDeferral(exchange));
     }
   }
 
-  private void write() {
+  private void write(Exchange ready) {
+    counters.checkInvariant(state == State.ASSIGNED, "a connection carries one exchange at a time");
     endpoint.removeAwaitingWrite(this);
-    if (exchange.isTooLateToWrite(now())) {
-      Exchange expired = takeExchange();
-      context.counters().increment(Counter.ATTEMPTS_WITHHELD);
-      becomeIdle();
-      complete(expired, BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
-      return;
-    }
-    context
-        .counters()
-        .checkInvariant(state == State.ASSIGNED, "a connection carries one exchange at a time");
     state = State.AWAITING_RESPONSE;
-    backend.send(exchange.encodeStatement(now()), exchange.isHealthCheck());
+    backend().send(ready.encodeStatement(clock.now()), ready.isHealthCheck());
+  }
+
+  private void withholdAndBecomeIdle() {
+    endpoint.removeAwaitingWrite(this);
+    Exchange withheld = takeExchange();
+    becomeIdle();
+    complete(withheld, writeGate.withhold());
   }
 
   /** Closes the connection, as its host drains, before anything of its exchange is written. */
-  void withhold() {
-    context.counters().increment(Counter.ATTEMPTS_WITHHELD);
+  void withholdAndClose() {
     close();
-    complete(takeExchange(), BackendResponse.withoutRow(AttemptOutcome.NOT_SENT));
+    complete(takeExchange(), writeGate.withhold());
   }
 
   /** Gives up the exchange; if it was written, only a close can end it. */
@@ -147,21 +140,18 @@
   }
 
   private void connectTimedOut() {
-    context.settings().backoff().attemptFailed(host, now());
-    context.counters().increment(Counter.CONNECTIONS_FAILED);
     close();
     complete(takeExchange(), BackendResponse.withoutRow(AttemptOutcome.CONNECT_FAILED));
   }
 
   @Override
   public void connected() {
-    connectTimeout.cancel();
-    context.settings().backoff().attemptSucceeded(host);
+    connectAttempt.succeed();
     if (exchange == null) {
       becomeIdle();
     } else {
       state = State.ASSIGNED;
-      writeOrDefer();
+      writeAsDecided(exchange, writeGate.decideWhenReady(exchange));
     }
   }
 
@@ -179,13 +169,9 @@
 
   @Override
   public void connectionLost(boolean accepted) {
-    boolean wasConnecting = connectTimeout.cancel();
-    if (wasConnecting) {
-      context.counters().increment(Counter.CONNECTIONS_FAILED);
-      context.settings().backoff().attemptFailed(host, now());
-    }
+    connectAttempt.fail();
     if (state == State.AWAITING_RESPONSE) {
-      context.idleLimit().reuseFailed(idleBeforeUseNanos);
+      idleLimit.reuseFailed(idleBeforeUseNanos);
     }
     AttemptOutcome outcome = outcomeOfLoss(accepted);
     endpoint.removeIdle(this);
@@ -201,22 +187,22 @@
     if (!accepted) {
       return AttemptOutcome.CONNECT_FAILED;
     }
-    boolean written = state == State.AWAITING_RESPONSE && backend.isStatementWritten();
+    boolean written = state == State.AWAITING_RESPONSE && backend().isStatementWritten();
     return written ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT;
   }
 
   private void becomeIdle() {
     if (endpoint.canReuse(address)) {
       state = State.IDLE;
-      idleSince = now();
+      idleSince = clock.now();
       endpoint.addIdle(this);
     } else {
       close();
     }
   }
 
-  /** Takes the exchange off this connection; null if there is none. */
-  private Exchange takeExchange() {
+  /** Takes the exchange off this connection, if there is one. */
+  private @Nullable Exchange takeExchange() {
     Exchange taken = exchange;
     exchange = null;
     if (taken != null) {
@@ -225,7 +211,7 @@
     return taken;
   }
 
-  private static void complete(Exchange finished, BackendResponse response) {
+  private static void complete(@Nullable Exchange finished, BackendResponse response) {
     if (finished == null) {
       response.release();
     } else {
@@ -240,17 +226,15 @@
     }
     state = State.CLOSED;
     endpoint.removeAwaitingWrite(this);
-    context.openConnections().closed();
-    context.counters().increment(Counter.CONNECTIONS_CLOSED);
-    if (connectTimeout.cancel()) {
-      context.settings().backoff().attemptCancelled(host);
-    }
+    openConnections.closed();
+    connectAttempt.cancel();
     if (backend != null) {
       backend.close();
     }
   }
 
-  private long now() {
-    return context.clock().now();
+  /** The connection to the host; there is one from {@link #connect} on. */
+  private BackendConnection backend() {
+    return Objects.requireNonNull(backend, "connect comes first");
   }
 }
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -50,10 +50,11 @@
     this.timers = timers;
     this.counters = counters;
     this.logger = logger;
-    pool = new ConnectionPool(connector, clock, timers, counters, settings);
+    WriteGate writeGate = new WriteGate(clock, timers, counters, settings.drainGraceNanos());
+    pool = new ConnectionPool(connector, clock, timers, counters, writeGate, settings);
     events = new PolicyEventQueue(counters);
     requests = new InFlightRequests(counters, events);
-    attempts = new AttemptRunner(clock, timers, counters, pool, requests);
+    attempts = new AttemptRunner(clock, timers, counters, pool, writeGate, requests);
     healthChecks =
         new HealthCheckRunner(
             clock, timers, counters, pool, events, connector, settings.connectTimeoutNanos());
