--- a/router/src/main/java/rushwood/dispatch/RequestTable.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequests.java
@@ -5,11 +5,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.RequestId;
 import rushwood.api.RoutingPolicy;
 
 /** The requests in flight, and the ids of those that finished a moment ago. */
-final class RequestTable {
+final class InFlightRequests {
   /** How many ids of finished requests are kept: those of some seconds. */
   private static final int MAX_RECENT_IDS = 2000;
 
@@ -19,7 +20,7 @@
   private final PolicyEventQueue events;
   private long unansweredCount;
 
-  RequestTable(Counters counters, PolicyEventQueue events) {
+  InFlightRequests(Counters counters, PolicyEventQueue events) {
     this.counters = counters;
     this.events = events;
   }
@@ -32,13 +33,13 @@
     return request;
   }
 
-  /** The request of that id, null if it is not in flight. */
-  InFlightRequest find(RequestId id) {
+  /** The request of that id, if it is in flight. */
+  @Nullable InFlightRequest find(RequestId id) {
     return requests.get(id);
   }
 
-  /** The request of that id, null unless it is in flight and waits for its final response. */
-  InFlightRequest findUnanswered(RequestId id) {
+  /** The request of that id, if it is in flight and waits for its final response. */
+  @Nullable InFlightRequest findUnanswered(RequestId id) {
     InFlightRequest request = requests.get(id);
     return request == null || request.isAnswered() ? null : request;
   }
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -23,7 +23,7 @@
   private final Counters counters;
   private final ConnectionPool pool;
   private final PolicyEventQueue events;
-  private final RequestTable requests;
+  private final InFlightRequests requests;
   private final AttemptRunner attempts;
   private final HealthCheckRunner healthChecks;
   private final EndpointRegistry endpoints;
@@ -50,10 +50,11 @@
     this.timers = timers;
     this.counters = counters;
     this.logger = logger;
-    pool = new ConnectionPool(connector, clock, timers, counters, settings);
+    WriteGate writeGate = new WriteGate(clock, timers, counters, settings.drainGraceNanos());
+    pool = new ConnectionPool(connector, clock, timers, counters, writeGate, settings);
     events = new PolicyEventQueue(counters);
-    requests = new RequestTable(counters, events);
-    attempts = new AttemptRunner(clock, timers, counters, pool, requests);
+    requests = new InFlightRequests(counters, events);
+    attempts = new AttemptRunner(clock, timers, counters, pool, writeGate, requests);
     healthChecks =
         new HealthCheckRunner(
             clock, timers, counters, pool, events, connector, settings.connectTimeoutNanos());
