--- a/router/src/main/java/rushwood/policy/RequestTable.java
+++ b/router/src/main/java/rushwood/policy/PendingRequests.java
@@ -12,12 +12,12 @@
  * The requests that a router has accepted: until they are finished and no attempt of theirs is in
  * flight.
  */
-final class RequestTable {
+final class PendingRequests {
   private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
   private final PolicyActions actions;
   private final boolean canCancel;
 
-  RequestTable(PolicyActions actions, boolean canCancel) {
+  PendingRequests(PolicyActions actions, boolean canCancel) {
     this.actions = actions;
     this.canCancel = canCancel;
   }
--- a/router/src/main/java/rushwood/policy/PolicyContext.java
+++ b/router/src/main/java/rushwood/policy/PolicyContext.java
@@ -13,7 +13,7 @@
     OverloadSignals overloadSignals,
     ServiceTimes serviceTimes,
     HostTable hosts,
-    RequestTable requests,
+    PendingRequests requests,
     DeadlineQueue deadlineQueue) {
 
   /** Creates a context that knows no hosts and no requests yet. */
@@ -30,7 +30,7 @@
         overloadSignals,
         serviceTimes,
         new HostTable(),
-        new RequestTable(actions, settings.canCancel()),
+        new PendingRequests(actions, settings.canCancel()),
         new DeadlineQueue(actions));
   }
 }
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -14,7 +14,7 @@
   private final PolicyContext context;
   private final PolicyComponents components;
   private final PolicyActions actions;
-  private final RequestTable requests;
+  private final PendingRequests requests;
   private final DeadlineQueue deadlineQueue;
 
   RequestLifecycle(PolicyContext context, PolicyComponents components) {
--- a/router/src/main/java/rushwood/policy/package-info.java
+++ b/router/src/main/java/rushwood/policy/package-info.java
@@ -9,7 +9,7 @@
  * other classes carry requests along ({@code RequestLifecycle}), wire the parts together ({@code
  * PolicyComponents}, {@code PolicyContext}), hold state ({@code HostTable}, {@code HostState},
  * {@code HostHealth}, {@code ReplicationState}, {@code SlowStartState}, {@code GroupState}, {@code
- * RequestTable}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts}, {@code
+ * PendingRequests}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts}, {@code
  * SessionWrites}) or are mechanisms without a value of their own ({@code WaitQueue}, {@code
  * DeadlineQueue}, {@code EndpointSubscription}, {@code ServiceTimes}, {@code TokenBucket}, {@code
  * ExponentialAverage}).
