--- a/router/src/main/java/rushwood/policy/Attempt.java
+++ b/router/src/main/java/rushwood/policy/Attempt.java
@@ -1,5 +1,6 @@
 package rushwood.policy;
 
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 
 /** One try at serving a request on one host. */
@@ -15,35 +16,67 @@
   /** Whether this attempt is a control sample: presumed lost only when that is certain. */
   final boolean isControl;
 
-  /** How the attempt ended; null while it is in flight. */
-  AttemptOutcome outcome;
-
-  boolean cancelled;
-
-  /** How many later attempts at the same host have been answered since. */
-  int overtakenBy;
-
-  boolean presumedLost;
+  private @Nullable AttemptOutcome outcome;
+  private boolean cancelled;
+  private int overtakenBy;
+  private boolean presumedLost;
 
+  /** Creates the next attempt of a request, in flight from now on. */
   Attempt(PendingRequest pending, HostState host, long sentAt, boolean isControl) {
     this.pending = pending;
-    this.number = pending.attempts.size();
+    this.number = pending.attemptCount();
     this.host = host;
     this.sentAt = sentAt;
     this.isControl = isControl;
   }
 
+  /** The attempt has ended. */
+  void end(AttemptOutcome newOutcome) {
+    outcome = newOutcome;
+  }
+
   boolean isInFlight() {
     return outcome == null;
   }
 
-  /** How long its host has not answered anything, in nanoseconds, since it was sent at the most. */
-  long silenceNanos(long now) {
-    return now - Math.max(host.health.lastAnswerAt, sentAt);
+  /** Whether the attempt has ended in that way. */
+  boolean endedAs(AttemptOutcome other) {
+    return outcome == other;
   }
 
   /** Whether the host may have executed the request: unless the outcome proves that it has not. */
   boolean isPossiblyExecuted() {
     return outcome == null || !outcome.provesNotExecuted();
   }
+
+  /** Marks the attempt as cancelled; returns whether it was not yet. */
+  boolean cancel() {
+    boolean isFirst = !cancelled;
+    cancelled = true;
+    return isFirst;
+  }
+
+  /** A later attempt at the same host has been answered. */
+  void overtaken() {
+    overtakenBy++;
+  }
+
+  /** How many later attempts at the same host have been answered since. */
+  int overtakenBy() {
+    return overtakenBy;
+  }
+
+  /** The answer is not expected any more; {@link InFlightAttempts#presumeLost} calls this. */
+  void presumeLost() {
+    presumedLost = true;
+  }
+
+  boolean isPresumedLost() {
+    return presumedLost;
+  }
+
+  /** How long its host has not answered anything, in nanoseconds, since it was sent at the most. */
+  long silenceNanos(long now) {
+    return now - Math.max(host.health.lastAnswerAt(), sentAt);
+  }
 }
--- a/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
@@ -54,17 +54,17 @@
   }
 
   private double effectiveLimit(HostState host, long now) {
-    if (now < host.pausedUntil) {
+    if (host.concurrency.isPaused(now)) {
       return 0;
     }
-    double oneSlot = Math.min(1, 1 / host.concurrencyLimit);
+    double oneSlot = Math.min(1, 1 / host.concurrency.limit());
     double share = Math.max(oneSlot, slowStart.share(host, now));
-    return host.isHealthy() ? host.concurrencyLimit * share : 1;
+    return host.health.isHealthy() ? host.concurrency.limit() * share : 1;
   }
 
   /** Whether the host's answers have lately taken longer than they should. */
   static boolean isSlow(HostState host) {
-    return host.latencyRatio.value() > TARGET_LATENCY_RATIO;
+    return host.concurrency.latencyRatio() > TARGET_LATENCY_RATIO;
   }
 
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
@@ -75,15 +75,15 @@
         adjust(host, latencyRatio, now);
         // Another host has served the request, so the hosts that failed it were at fault.
         for (HostState failed : attempt.pending.hostsWithErrors()) {
-          failed.pausedUntil = now + REFUSAL_PAUSE_NANOS;
+          failed.concurrency.pauseUntil(now + REFUSAL_PAUSE_NANOS);
         }
       }
       case OVERLOADED -> {
         adjust(host, 1, now);
-        host.pausedUntil = now + REFUSAL_PAUSE_NANOS;
+        host.concurrency.pauseUntil(now + REFUSAL_PAUSE_NANOS);
       }
       case TIMED_OUT -> {
-        if (!attempt.presumedLost) {
+        if (!attempt.isPresumedLost()) {
           adjust(host, Math.max(1, latencyRatio), now);
         }
       }
@@ -94,14 +94,14 @@
 
   /** Adjusts the limit to an answer, by the share of its request's objective time that it took. */
   private void adjust(HostState host, double latencyRatio, long now) {
-    double gapWeight = Math.min(1, (now - host.health.lastAnswerAt) / FULL_WEIGHT_GAP_NANOS);
-    host.latencyRatio.add(latencyRatio, Math.max(LATENCY_RATIO_SMOOTHING, gapWeight));
-    double limit = host.concurrencyLimit;
+    double gapWeight = Math.min(1, (now - host.health.lastAnswerAt()) / FULL_WEIGHT_GAP_NANOS);
+    host.concurrency.recordLatencyRatio(latencyRatio, Math.max(LATENCY_RATIO_SMOOTHING, gapWeight));
+    double limit = host.concurrency.limit();
     double step = Math.min(1 / limit, limit * MAX_RELATIVE_STEP);
     if (isSlow(host)) {
-      host.concurrencyLimit = Math.max(minLimit(context), limit - step);
+      host.concurrency.adjustLimit(Math.max(minLimit(context), limit - step));
     } else if (latencyRatio <= TARGET_LATENCY_RATIO && host.inFlight.size() + 1 >= limit) {
-      host.concurrencyLimit = limit + step;
+      host.concurrency.adjustLimit(limit + step);
     }
   }
 
@@ -109,8 +109,9 @@
   private void pauseToLimit(Attempt attempt, long durationNanos, long now) {
     HostState host = attempt.host;
     double maxWork = MAX_WORK_MULTIPLE * context.serviceTimes().expected(attempt.pending);
-    double pause = Math.min(durationNanos, maxWork) * Math.max(0, 1 / host.concurrencyLimit - 1);
-    long pauseStart = Math.max(host.pausedUntil, now - (isSlow(host) ? 0 : MAX_IDLE_CREDIT_NANOS));
-    host.pausedUntil = pauseStart + (long) pause;
+    double pause = Math.min(durationNanos, maxWork) * Math.max(0, 1 / host.concurrency.limit() - 1);
+    long pauseStart =
+        Math.max(host.concurrency.pausedUntil(), now - (isSlow(host) ? 0 : MAX_IDLE_CREDIT_NANOS));
+    host.concurrency.pauseUntil(pauseStart + (long) pause);
   }
 }
--- a/router/src/main/java/rushwood/policy/DeadlinePolicy.java
+++ b/router/src/main/java/rushwood/policy/DeadlinePolicy.java
@@ -25,7 +25,7 @@
    */
   long answerDeadline(PendingRequest pending) {
     long deadline = pending.request.deadline();
-    if (pending.attempts.isEmpty() && pending.requestClass.lateValue() == 0) {
+    if (!pending.hasAttempts() && pending.requestClass.lateValue() == 0) {
       deadline -= (deadline - pending.arrivedAt) / 2;
     }
     return Math.min(deadline, shutdownAt) - marginNanos;
--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -40,7 +40,7 @@
   }
 
   private long earliestDeadline() {
-    while (!entries.isEmpty() && entries.peek().pending().finished) {
+    while (!entries.isEmpty() && entries.peek().pending().isFinished()) {
       entries.poll();
     }
     return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().deadline();
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -83,14 +83,14 @@
     if (endpoint.state() == Endpoint.State.REMOVED && !context.settings().isRemovalBinding()) {
       return; // Such a list does not prove which hosts are up: their health decides.
     }
-    host.endpoint = endpoint;
+    host.listed(endpoint);
     if (endpoint.state() != Endpoint.State.READY) {
       host.leaveGroup();
       return;
     }
     context.hosts().group(endpoint.group()).add(host);
-    if (endpoint.startedAt() > host.slowStart.startedAt) {
-      host.reset(endpoint.startedAt());
+    if (endpoint.startedAt() > host.slowStart.startedAt()) {
+      host.processRestarted(endpoint.startedAt());
     }
     components.primaries.endpointListed(host);
   }
@@ -123,7 +123,7 @@
   @Override
   public void healthCheckFinished(long now, HostId id, boolean answered, LoadReport report) {
     HostState host = context.hosts().host(id);
-    host.health.healthCheckInFlight = false;
+    host.health.healthCheckEnded();
     if (answered) { // No answer proves nothing: hosts turn checks away when many routers ask.
       components.outliers.healthCheckAnswered(host, now);
     }
@@ -145,7 +145,7 @@
 
   /** Checks the hosts of a group, then what waits for them. */
   private void check(GroupState group, long now) {
-    for (HostState host : group.members) {
+    for (HostState host : group.members()) {
       SlowStart.updateWorkRate(host);
       components.lostAnswers.check(host, now);
       components.outliers.check(host, now);
@@ -153,7 +153,7 @@
     }
     for (PendingRequest pending : group.waitingRequests()) {
       if (!pending.isWrite()) {
-        pending.avoidedHosts.clear();
+        pending.forgetAvoidedHosts();
       } else if (!group.hasPrimary()) {
         requests.process(pending, now);
       }
--- a/router/src/main/java/rushwood/policy/FreshnessPolicy.java
+++ b/router/src/main/java/rushwood/policy/FreshnessPolicy.java
@@ -28,13 +28,13 @@
   }
 
   void updateRequiredPosition(PendingRequest pending, long now) {
-    pending.requiredPosition =
+    pending.requirePosition(
         switch (pending.requestClass.consistency()) {
           case EVENTUAL -> HostState.NEVER;
           case STRONG -> pending.arrivedAt;
           case BOUNDED_STALENESS -> now - pending.requestClass.maxStalenessNanos();
           case READ_YOUR_WRITES -> lastWrite(pending);
-        };
+        });
   }
 
   /** The position of the session's last write, from this router's record or else the client's. */
@@ -57,7 +57,7 @@
       attempt.host.replication.recordPosition(result.position(), now);
     }
     if (!pending.isWrite() && result.outcome() == AttemptOutcome.REPLICA_LAGGING) {
-      attempt.host.replication.readRefusedAt = now;
+      attempt.host.replication.readRefused(now);
     }
   }
 }
--- a/router/src/main/java/rushwood/policy/GroupState.java
+++ b/router/src/main/java/rushwood/policy/GroupState.java
@@ -5,52 +5,74 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
+import org.jspecify.annotations.Nullable;
 
 /** What a router knows of a group: its members in order of id, its primary, its wait queues. */
 final class GroupState {
   private static final Comparator<HostState> BY_ID = Comparator.comparing(host -> host.id.value());
 
-  final List<HostState> members = new ArrayList<>();
+  /** Requests that wait for their first attempt. */
   final WaitQueue firstAttempts = new WaitQueue();
+
+  /** Requests that wait for a retry. */
   final WaitQueue retries = new WaitQueue();
 
-  /** The primary, as far as is known; null if unknown. */
-  HostState primary;
+  private final List<HostState> members = new ArrayList<>();
+  private @Nullable HostState primary;
+  private @Nullable PendingRequest primaryDiscovery;
 
-  /** The write that was sent to a member whose role is unknown, to find the primary; or null. */
-  PendingRequest primaryDiscovery;
+  /** The members in order of id; not to be changed. */
+  List<HostState> members() {
+    return members;
+  }
 
   /** Adds a host, which leaves the group that it was in; has no effect on a member. */
   void add(HostState host) {
-    if (host.group != this) {
-      host.leaveGroup();
-      host.group = this;
+    if (!host.isMemberOf(this)) {
+      host.joinGroup(this);
       members.add(host);
       members.sort(BY_ID);
     }
   }
 
+  /** Removes a host; {@link HostState#leaveGroup} calls this. */
   void remove(HostState host) {
     members.remove(host);
     clearPrimary(host);
   }
 
-  boolean hasPrimary() {
-    return primary != null;
-  }
-
   boolean hasNoHealthyMember() {
     for (HostState host : members) {
-      if (host.isHealthy()) {
+      if (host.health.isHealthy()) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether requests wait and no primary is known. */
-  boolean needsPrimary() {
-    return !hasPrimary() && !firstAttempts.isEmpty();
+  /** All members but the primary, as a new list. */
+  List<HostState> replicas() {
+    List<HostState> replicas = new ArrayList<>(members);
+    replicas.remove(primary);
+    return replicas;
+  }
+
+  /** The primary, if it is known. */
+  @Nullable HostState primary() {
+    return primary;
+  }
+
+  boolean hasPrimary() {
+    return primary != null;
+  }
+
+  boolean isPrimary(HostState host) {
+    return primary == host;
+  }
+
+  /** The {@link PrimaryTracker} takes that member for the primary. */
+  void setPrimary(HostState host) {
+    primary = host;
   }
 
   /** From now on the primary is unknown, if it was that host. */
@@ -60,6 +82,20 @@
     }
   }
 
+  /** Whether requests wait and no primary is known. */
+  boolean needsPrimary() {
+    return !hasPrimary() && !firstAttempts.isEmpty();
+  }
+
+  /** That write goes to a member whose role is unknown, to find the primary. */
+  void startPrimaryDiscovery(PendingRequest pending) {
+    primaryDiscovery = pending;
+  }
+
+  boolean isDiscoveringPrimary() {
+    return primaryDiscovery != null;
+  }
+
   /** Called when the request has its result or is finished: the next write may look for it. */
   void endPrimaryDiscovery(PendingRequest pending) {
     if (primaryDiscovery == pending) {
@@ -72,23 +108,16 @@
     return Stream.concat(firstAttempts.requests().stream(), retries.requests().stream()).toList();
   }
 
-  /** All members but the primary, as a new list. */
-  List<HostState> replicas() {
-    List<HostState> replicas = new ArrayList<>(members);
-    replicas.remove(primary);
-    return replicas;
-  }
-
   /** Draws a host with a probability in proportion to its weight, and removes it from the list. */
   static HostState drawByWeight(List<HostState> candidates, RandomGenerator random) {
     double point = 0;
     for (HostState host : candidates) {
-      point += host.endpoint.weight();
+      point += host.endpoint().weight();
     }
     point *= random.nextDouble();
     int index = 0;
-    while (index < candidates.size() - 1 && point >= candidates.get(index).endpoint.weight()) {
-      point -= candidates.get(index).endpoint.weight();
+    while (index < candidates.size() - 1 && point >= candidates.get(index).endpoint().weight()) {
+      point -= candidates.get(index).endpoint().weight();
       index++;
     }
     return candidates.remove(index);
--- a/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
+++ b/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
@@ -24,12 +24,12 @@
   /** Checks the host if the budget allows it; returns whether it did. */
   boolean checkHealth(HostState host) {
     if (!context.settings().hasHealthChecks()
-        || host.health.healthCheckInFlight
+        || host.health.isHealthCheckInFlight()
         || !budget.has(1)) {
       return false;
     }
     budget.take(1);
-    host.health.healthCheckInFlight = true;
+    host.health.healthCheckStarted();
     context.actions().checkHealth(host.id);
     return true;
   }
@@ -37,32 +37,34 @@
   /** Checks an ejected host; an unreachable one again soon, since the first check may get lost. */
   void hostEjected(HostState host, long now) {
     long intervalNanos =
-        host.isUnreachable() ? DefaultRoutingPolicy.CHECK_INTERVAL_NANOS : TRIAL_INTERVAL_NANOS;
-    host.health.nextTrialAt = now + intervalNanos;
+        host.health.isUnreachable()
+            ? DefaultRoutingPolicy.CHECK_INTERVAL_NANOS
+            : TRIAL_INTERVAL_NANOS;
+    host.health.scheduleTrial(now + intervalNanos);
     checkHealth(host);
   }
 
   void checkHealthIfDue(HostState host, long now) {
     if (isHealthCheckDue(host, now) && checkHealth(host)) {
-      host.health.nextTrialAt = now + TRIAL_INTERVAL_NANOS;
+      host.health.scheduleTrial(now + TRIAL_INTERVAL_NANOS);
     }
   }
 
   private static boolean isHealthCheckDue(HostState host, long now) {
-    return host.isUnreachable() && now >= host.health.nextTrialAt;
+    return host.health.isUnreachable() && host.health.isTrialTimeReached(now);
   }
 
   /**
    * An unresponsive host may answer health checks, so only a request shows whether it serves again.
    */
   boolean isTrialDue(HostState host, long now) {
-    return host.isUnresponsive() && now >= host.health.nextTrialAt && budget.has(1);
+    return host.health.isUnresponsive() && host.health.isTrialTimeReached(now) && budget.has(1);
   }
 
   void attemptSent(HostState host, long now) {
     if (isTrialDue(host, now)) {
       budget.take(1);
-      host.health.nextTrialAt = now + TRIAL_INTERVAL_NANOS;
+      host.health.scheduleTrial(now + TRIAL_INTERVAL_NANOS);
     }
   }
 
@@ -73,13 +75,13 @@
    */
   void checkHealthOfLeastRecentlyHeard(GroupState group, long maxAgeNanos, long now) {
     boolean yields = context.random().nextBoolean();
-    if (yields && group.members.stream().anyMatch(host -> isHealthCheckDue(host, now))) {
+    if (yields && group.members().stream().anyMatch(host -> isHealthCheckDue(host, now))) {
       return;
     }
     group.replicas().stream()
-        .filter(host -> !host.isUnreachable() && !host.health.healthCheckInFlight)
-        .min(Comparator.comparingLong(host -> host.replication.positionHeardAt))
-        .filter(host -> host.replication.positionHeardAt < now - maxAgeNanos)
+        .filter(host -> !host.health.isUnreachable() && !host.health.isHealthCheckInFlight())
+        .min(Comparator.comparingLong(host -> host.replication.positionHeardAt()))
+        .filter(host -> host.replication.positionHeardAt() < now - maxAgeNanos)
         .ifPresent(this::checkHealth);
   }
 }
--- a/router/src/main/java/rushwood/policy/HostHealth.java
+++ b/router/src/main/java/rushwood/policy/HostHealth.java
@@ -13,27 +13,76 @@
     UNRESPONSIVE
   }
 
-  Status status = Status.HEALTHY;
+  private Status status = Status.HEALTHY;
+  private long ejectedAt = HostState.NEVER;
+  private long nextTrialAt = HostState.NEVER;
+  private long lastAnswerAt = HostState.NEVER;
+  private boolean healthCheckInFlight;
 
-  /** When it was last ejected; counts only while it is not healthy. */
-  long ejectedAt;
+  Status status() {
+    return status;
+  }
 
-  /**
-   * When the next health check or trial request may be sent; counts only while it is not healthy.
-   */
-  long nextTrialAt;
+  boolean isHealthy() {
+    return status == Status.HEALTHY;
+  }
 
-  /** When it last answered an attempt, if only to refuse it. */
-  long lastAnswerAt = HostState.NEVER;
+  boolean isUnreachable() {
+    return status == Status.UNREACHABLE;
+  }
 
-  boolean healthCheckInFlight;
+  boolean isUnresponsive() {
+    return status == Status.UNRESPONSIVE;
+  }
 
+  /** The {@link OutlierDetector} excludes the host from selection. */
   void eject(Status newStatus, long now) {
     status = newStatus;
     ejectedAt = now;
   }
 
+  /** The host answers again, or its process has started anew. */
   void restore() {
     status = Status.HEALTHY;
   }
+
+  /** When the host was last ejected. */
+  long ejectedAt() {
+    return ejectedAt;
+  }
+
+  /**
+   * Whether the next health check or trial request may be sent; counts only while the host is
+   * ejected.
+   */
+  boolean isTrialTimeReached(long now) {
+    return now >= nextTrialAt;
+  }
+
+  /** The {@link HealthCheckPolicy} allows the next health check or trial request at that time. */
+  void scheduleTrial(long time) {
+    nextTrialAt = time;
+  }
+
+  /** The host has answered an attempt, if only to refuse it. */
+  void answered(long now) {
+    lastAnswerAt = now;
+  }
+
+  /** When the host last answered an attempt; {@link HostState#NEVER} if it never did. */
+  long lastAnswerAt() {
+    return lastAnswerAt;
+  }
+
+  void healthCheckStarted() {
+    healthCheckInFlight = true;
+  }
+
+  void healthCheckEnded() {
+    healthCheckInFlight = false;
+  }
+
+  boolean isHealthCheckInFlight() {
+    return healthCheckInFlight;
+  }
 }
--- a/router/src/main/java/rushwood/policy/HostState.java
+++ b/router/src/main/java/rushwood/policy/HostState.java
@@ -1,5 +1,7 @@
 package rushwood.policy;
 
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.Endpoint;
 import rushwood.api.HostId;
 
@@ -9,45 +11,30 @@
   static final long NEVER = Long.MIN_VALUE / 2;
 
   final HostId id;
-
-  /** As last listed. */
-  Endpoint endpoint;
-
-  /** The group that it serves; null while it is draining or removed. */
-  GroupState group;
-
   final HostHealth health = new HostHealth();
   final ReplicationState replication = new ReplicationState();
   final SlowStartState slowStart = new SlowStartState();
+  final ConcurrencyState concurrency;
   final InFlightAttempts inFlight = new InFlightAttempts();
 
-  private final double initialLimit;
-
-  /** How many attempts may be in flight; below 1, a single slot that pauses between attempts. */
-  double concurrencyLimit;
-
-  /** The smoothed share of their objective time that its answers take. */
-  final ExponentialAverage latencyRatio = new ExponentialAverage(0);
+  private Endpoint endpoint;
+  private @Nullable GroupState group;
 
-  /** Until then it gets no attempts, as a clock time. */
-  long pausedUntil = NEVER;
-
-  HostState(HostId id, double initialLimit) {
-    this.id = id;
-    this.initialLimit = initialLimit;
-    concurrencyLimit = initialLimit;
-  }
-
-  boolean isHealthy() {
-    return health.status == HostHealth.Status.HEALTHY;
+  /** Creates the state of a newly listed host, which serves no group yet. */
+  HostState(Endpoint endpoint, double initialLimit) {
+    this.id = endpoint.id();
+    this.endpoint = endpoint;
+    concurrency = new ConcurrencyState(initialLimit);
   }
 
-  boolean isUnreachable() {
-    return health.status == HostHealth.Status.UNREACHABLE;
+  /** The host as it was last listed. */
+  Endpoint endpoint() {
+    return endpoint;
   }
 
-  boolean isUnresponsive() {
-    return health.status == HostHealth.Status.UNRESPONSIVE;
+  /** Discovery lists the host, with the same id. */
+  void listed(Endpoint newEndpoint) {
+    endpoint = newEndpoint;
   }
 
   /** Whether it serves a group: it is listed as ready. */
@@ -55,31 +42,49 @@
     return group != null;
   }
 
-  /** Whether it is the known primary of the group that it serves. */
-  boolean isPrimary() {
-    return group.primary == this;
+  /**
+   * The group that it serves.
+   *
+   * @throws NullPointerException if it serves none, since it is draining or removed
+   */
+  GroupState group() {
+    return Objects.requireNonNull(group);
+  }
+
+  boolean isMemberOf(GroupState other) {
+    return group == other;
+  }
+
+  /** The host serves that group from now on; {@link GroupState#add} calls this. */
+  void joinGroup(GroupState newGroup) {
+    leaveGroup();
+    group = newGroup;
   }
 
+  /** The host is draining or removed, or moves to another group. */
   void leaveGroup() {
-    if (hasGroup()) {
+    if (group != null) {
       group.remove(this);
       group = null;
     }
   }
 
+  /** Whether it is the known primary of the group that it serves. */
+  boolean isPrimary() {
+    return group != null && group.isPrimary(this);
+  }
+
   /** Whether the host is up although that attempt failed: the connection was at fault. */
   boolean hasAnsweredSince(Attempt attempt) {
-    return health.lastAnswerAt > attempt.sentAt;
+    return health.lastAnswerAt() > attempt.sentAt;
   }
 
   /**
    * Its process has started anew: what was learned of the old one's capacity and health is void.
    */
-  void reset(long processStartedAt) {
-    slowStart.startedAt = processStartedAt;
-    concurrencyLimit = initialLimit;
-    latencyRatio.reset(0);
-    pausedUntil = NEVER;
+  void processRestarted(long startedAt) {
+    slowStart.processStarted(startedAt);
+    concurrency.reset();
     health.restore();
   }
 
--- a/router/src/main/java/rushwood/policy/HostTable.java
+++ b/router/src/main/java/rushwood/policy/HostTable.java
@@ -18,18 +18,26 @@
   private final Map<GroupId, GroupState> groups =
       new TreeMap<>(Comparator.comparing(GroupId::value));
 
-  /** The state of a host that was listed and not yet forgotten, or null. */
+  /**
+   * The state of a host that was listed and not yet forgotten.
+   *
+   * @throws IllegalArgumentException if this router knows no such host
+   */
   HostState host(HostId id) {
-    return hosts.get(id);
+    HostState host = hosts.get(id);
+    if (host == null) {
+      throw new IllegalArgumentException("unknown host " + id);
+    }
+    return host;
   }
 
   /** The state of a listed host, created with that concurrency limit if the host is new. */
   HostState getOrAdd(Endpoint endpoint, double initialLimit) {
-    return hosts.computeIfAbsent(endpoint.id(), id -> new HostState(id, initialLimit));
+    return hosts.computeIfAbsent(endpoint.id(), id -> new HostState(endpoint, initialLimit));
   }
 
   GroupState group(GroupId id) {
-    return groups.computeIfAbsent(id, each -> new GroupState());
+    return groups.computeIfAbsent(id, newId -> new GroupState());
   }
 
   Collection<HostState> hosts() {
@@ -58,6 +66,8 @@
         .values()
         .removeIf(
             host ->
-                !host.hasGroup() && host.inFlight.isEmpty() && !host.health.healthCheckInFlight);
+                !host.hasGroup()
+                    && host.inFlight.isEmpty()
+                    && !host.health.isHealthCheckInFlight());
   }
 }
--- a/router/src/main/java/rushwood/policy/InFlightAttempts.java
+++ b/router/src/main/java/rushwood/policy/InFlightAttempts.java
@@ -18,7 +18,7 @@
   }
 
   void remove(Attempt attempt) {
-    if (attempts.remove(attempt) && attempt.presumedLost) {
+    if (attempts.remove(attempt) && attempt.isPresumedLost()) {
       presumedLostCount--;
     }
   }
@@ -48,7 +48,7 @@
 
   /** Frees the slot of an attempt in flight whose answer is not expected any more; call it once. */
   void presumeLost(Attempt attempt) {
-    attempt.presumedLost = true;
+    attempt.presumeLost();
     presumedLostCount++;
   }
 
@@ -56,7 +56,7 @@
   void countOvertaken(Attempt answered) {
     for (Attempt attempt : attempts) {
       if (attempt.sentAt < answered.sentAt) {
-        attempt.overtakenBy++;
+        attempt.overtaken();
       }
     }
   }
--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -40,12 +40,12 @@
     int probableLoss = lossRatio > HIGH_LOSS_RATIO ? PROBABLE_LOSS_COUNT : certainLoss;
     for (Attempt attempt : host.inFlight) {
       int threshold = attempt.isControl ? certainLoss : probableLoss;
-      if (isLate(attempt, now) && !attempt.presumedLost && attempt.overtakenBy >= threshold) {
-        boolean isCertain = attempt.overtakenBy >= certainLoss;
+      if (isLate(attempt, now) && !attempt.isPresumedLost() && attempt.overtakenBy() >= threshold) {
+        boolean isCertain = attempt.overtakenBy() >= certainLoss;
         lossRatio += isCertain ? (1 - lossRatio) * LOSS_RATIO_SMOOTHING : 0;
         host.inFlight.presumeLost(attempt);
       }
-      if (isHopeless(attempt, now) && !attempt.pending.finished) {
+      if (isHopeless(attempt, now) && !attempt.pending.isFinished()) {
         context.requests().cancelAttempt(attempt.pending);
       }
     }
@@ -61,8 +61,8 @@
     PendingRequest pending = attempt.pending;
     double retryEnd = now + context.serviceTimes().expected(pending);
     boolean isHopeless =
-        (attempt.presumedLost && retryEnd < pending.objectiveDeadline)
-            || (attempt.host.isUnresponsive() && isLate(attempt, now));
+        (attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline)
+            || (attempt.host.health.isUnresponsive() && isLate(attempt, now));
     return isHopeless && (pending.isIdempotent() || pending.hasIdempotencyKey());
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -16,10 +16,11 @@
 
   /** Whether the host may get requests: ejection never empties a group. */
   boolean isUsable(HostState host, long now) {
-    return host.isHealthy()
+    return host.health.isHealthy()
         || healthChecks.isTrialDue(host, now)
-        || (host.group.hasNoHealthyMember()
-            && (!host.isUnreachable() || context.overloadSignals().canConnect(now, host.id)));
+        || (host.group().hasNoHealthyMember()
+            && (!host.health.isUnreachable()
+                || context.overloadSignals().canConnect(now, host.id)));
   }
 
   /** A broken connection says nothing of a host that answers, or has other attempts in flight. */
@@ -31,22 +32,22 @@
     if (failed) {
       eject(host, HostHealth.Status.UNREACHABLE, now);
     } else if (result.outcome().isHostResponse()) {
-      host.health.lastAnswerAt = now;
-      if (host.isUnresponsive()) {
+      host.health.answered(now);
+      if (host.health.isUnresponsive()) {
         restore(host, now);
       }
     }
   }
 
   void healthCheckAnswered(HostState host, long now) {
-    if (host.isUnreachable()) {
+    if (host.health.isUnreachable()) {
       restore(host, now);
     }
   }
 
   /** Ejects a host or checks its health; called once a check interval. */
   void check(HostState host, long now) {
-    if (host.isHealthy() && missingAnswers(host, now) > MAX_MISSING_ANSWERS) {
+    if (host.health.isHealthy() && missingAnswers(host, now) > MAX_MISSING_ANSWERS) {
       eject(host, HostHealth.Status.UNRESPONSIVE, now);
     } else {
       healthChecks.checkHealthIfDue(host, now);
@@ -55,21 +56,22 @@
 
   private void restore(HostState host, long now) {
     context.actions().log(LogLevel.INFO, "restored host " + host.id + ": it answers again");
-    if (host.isUnreachable() && now - host.health.ejectedAt > MAX_WARM_OUTAGE_NANOS) {
-      host.reset(now); // after so long an outage its process has probably restarted, and is cold
+    if (host.health.isUnreachable() && now - host.health.ejectedAt() > MAX_WARM_OUTAGE_NANOS) {
+      host.processRestarted(
+          now); // after so long an outage its process has probably restarted, and is cold
     }
     host.health.restore();
   }
 
   private void eject(HostState host, HostHealth.Status status, long now) {
-    if (!host.hasGroup() || host.isUnreachable() || host.health.status == status) {
+    if (!host.hasGroup() || host.health.isUnreachable() || host.health.status() == status) {
       return;
     }
     String reason = status.name().toLowerCase(Locale.ROOT);
     context.actions().log(LogLevel.WARN, "ejected host " + host.id + ": " + reason);
     host.health.eject(status, now);
     healthChecks.hostEjected(host, now);
-    host.group.clearPrimary(host);
+    host.group().clearPrimary(host);
     lostAnswers.check(host, now);
   }
 
@@ -80,7 +82,7 @@
    */
   private double missingAnswers(HostState host, long now) {
     return host.inFlight.stream()
-        .filter(attempt -> !attempt.presumedLost)
+        .filter(attempt -> !attempt.isPresumedLost())
         .mapToDouble(
             attempt -> attempt.silenceNanos(now) / context.serviceTimes().expected(attempt.pending))
         .sum();
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -2,13 +2,17 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.Request;
 import rushwood.api.RequestClass;
 import rushwood.api.RequestClass.Consistency;
 import rushwood.api.RequestClass.Idempotency;
 
-/** A request that the policy has accepted, with its attempts. */
+/**
+ * A request that the policy has accepted, with its attempts, of which the last alone can be in
+ * flight. Times are clock times in nanoseconds.
+ */
 final class PendingRequest {
   final Request request;
   final RequestClass requestClass;
@@ -18,17 +22,13 @@
   /** The end of the latency objective, or the request's deadline if that is earlier. */
   final long objectiveDeadline;
 
-  final List<Attempt> attempts = new ArrayList<>();
-
-  /** Hosts that were behind, or at fault, when this request tried them. */
-  final List<HostState> avoidedHosts = new ArrayList<>();
-
-  boolean finished;
-  boolean queued;
-
-  /** The position that a replica has to have applied to answer; {@link HostState#NEVER} for any. */
-  long requiredPosition;
+  private final List<Attempt> attempts = new ArrayList<>();
+  private final List<HostState> avoidedHosts = new ArrayList<>();
+  private long requiredPosition;
+  private boolean queued;
+  private boolean finished;
 
+  /** Creates a request without attempts that waits in no queue. */
   PendingRequest(Request request, GroupState group, long arrivedAt) {
     this.request = request;
     this.requestClass = request.requestClass();
@@ -59,21 +59,51 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
   }
 
+  /** The position that a replica has to have applied to answer; {@link HostState#NEVER} for any. */
+  long requiredPosition() {
+    return requiredPosition;
+  }
+
+  /** The {@link FreshnessPolicy} asks for that position. */
+  void requirePosition(long position) {
+    requiredPosition = position;
+  }
+
+  /** The request is sent to a host. */
+  Attempt startAttempt(HostState host, long now, boolean isControl) {
+    Attempt attempt = new Attempt(this, host, now, isControl);
+    attempts.add(attempt);
+    return attempt;
+  }
+
+  int attemptCount() {
+    return attempts.size();
+  }
+
+  boolean hasAttempts() {
+    return !attempts.isEmpty();
+  }
+
+  /** The attempt of that number, from 0; the number is below {@link #attemptCount}. */
+  Attempt attempt(int number) {
+    return attempts.get(number);
+  }
+
   /** The last attempt of a request that has one; it alone can be in flight. */
   Attempt lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
 
   boolean hasAttemptInFlight() {
-    return !attempts.isEmpty() && lastAttempt().isInFlight();
+    return hasAttempts() && lastAttempt().isInFlight();
   }
 
   boolean isPossiblyExecuted() {
     return firstPossiblyExecuted() != null;
   }
 
-  /** The first attempt that may have been executed, or null. */
-  Attempt firstPossiblyExecuted() {
+  /** The first attempt that may have been executed, if there is one. */
+  @Nullable Attempt firstPossiblyExecuted() {
     for (Attempt attempt : attempts) {
       if (attempt.isPossiblyExecuted()) {
         return attempt;
@@ -84,28 +114,40 @@
 
   /** Whether the last attempt took work or a queue slot from its host, as a retry would again. */
   boolean isRetryCostly() {
-    if (attempts.isEmpty()) {
-      return false;
-    }
-    AttemptOutcome outcome = lastAttempt().outcome;
-    return outcome != AttemptOutcome.NOT_SENT
-        && outcome != AttemptOutcome.CONNECT_FAILED
-        && outcome != AttemptOutcome.REPLICA_LAGGING;
+    return hasAttempts()
+        && !lastAttempt().endedAs(AttemptOutcome.NOT_SENT)
+        && !lastAttempt().endedAs(AttemptOutcome.CONNECT_FAILED)
+        && !lastAttempt().endedAs(AttemptOutcome.REPLICA_LAGGING);
   }
 
   /** The number of attempts that were answered with an error. */
   long errorCount() {
-    return attempts.stream().filter(attempt -> attempt.outcome == AttemptOutcome.ERROR).count();
+    return attempts.stream().filter(attempt -> attempt.endedAs(AttemptOutcome.ERROR)).count();
   }
 
   /** The hosts that answered with an error. */
   List<HostState> hostsWithErrors() {
     return attempts.stream()
-        .filter(attempt -> attempt.outcome == AttemptOutcome.ERROR)
+        .filter(attempt -> attempt.endedAs(AttemptOutcome.ERROR))
         .map(attempt -> attempt.host)
         .toList();
   }
 
+  /** The host was behind, or at fault, when this request tried it. */
+  void avoid(HostState host) {
+    avoidedHosts.add(host);
+  }
+
+  boolean avoids(HostState host) {
+    return avoidedHosts.contains(host);
+  }
+
+  /** From now on the request may go to hosts again that it has avoided. */
+  void forgetAvoidedHosts() {
+    avoidedHosts.clear();
+  }
+
+  /** Lets the request wait in a queue of its group; has no effect if it does already. */
   void enqueue() {
     if (!queued) {
       queued = true;
@@ -113,6 +155,7 @@
     }
   }
 
+  /** Takes the request out of its queue if it is in one. */
   void dequeue() {
     if (queued) {
       queued = false;
@@ -120,14 +163,23 @@
     }
   }
 
+  boolean isQueued() {
+    return queued;
+  }
+
   /** Retries wait in a queue of their own; attempts are added only while a request is in none. */
   private WaitQueue waitQueue() {
-    return attempts.isEmpty() ? group.firstAttempts : group.retries;
+    return hasAttempts() ? group.retries : group.firstAttempts;
   }
 
+  /** The request has its final answer, or needs none any more. */
   void finish() {
     finished = true;
     dequeue();
     group.endPrimaryDiscovery(this);
   }
+
+  boolean isFinished() {
+    return finished;
+  }
 }
--- a/router/src/main/java/rushwood/policy/PendingRequests.java
+++ b/router/src/main/java/rushwood/policy/PendingRequests.java
@@ -3,20 +3,26 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptResult;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
 import rushwood.api.RequestId;
 
 /**
- * The requests that a router has accepted: until they are finished and no attempt of theirs is in
- * flight.
+ * The requests that a router has accepted, in order of arrival: until they are finished and no
+ * attempt of theirs is in flight.
  */
 final class PendingRequests {
   private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
   private final PolicyActions actions;
   private final boolean canCancel;
 
+  /**
+   * Creates the empty collection.
+   *
+   * @param canCancel whether hosts can be told to stop an attempt
+   */
   PendingRequests(PolicyActions actions, boolean canCancel) {
     this.actions = actions;
     this.canCancel = canCancel;
@@ -28,8 +34,8 @@
     return pending;
   }
 
-  /** The request of that id, or null. */
-  PendingRequest get(RequestId id) {
+  /** The request of that id, if it is here. */
+  @Nullable PendingRequest find(RequestId id) {
     return requests.get(id);
   }
 
@@ -45,21 +51,19 @@
   Attempt attempt(AttemptResult result) {
     PendingRequest pending = requests.get(result.request());
     int number = result.attemptNumber();
-    if (pending == null || number < 0 || number >= pending.attempts.size()) {
+    if (pending == null || number < 0 || number >= pending.attemptCount()) {
       throw new IllegalArgumentException("unknown attempt " + number + " of " + result.request());
     }
-    return pending.attempts.get(number);
+    return pending.attempt(number);
   }
 
   /** Cancels the attempt in flight, if there is one and the deployment allows it; once only. */
   void cancelAttempt(PendingRequest pending) {
-    if (!canCancel || !pending.hasAttemptInFlight()) {
-      return;
-    }
-    Attempt attempt = pending.lastAttempt();
-    if (!attempt.cancelled) {
-      attempt.cancelled = true;
-      actions.cancel(pending.request.id(), attempt.number);
+    if (canCancel && pending.hasAttemptInFlight()) {
+      Attempt attempt = pending.lastAttempt();
+      if (attempt.cancel()) {
+        actions.cancel(pending.request.id(), attempt.number);
+      }
     }
   }
 
@@ -71,7 +75,7 @@
 
   /** Forgets a finished request once nothing of it is in flight. */
   void forgetIfDone(PendingRequest pending) {
-    if (pending.finished && !pending.hasAttemptInFlight()) {
+    if (pending.isFinished() && !pending.hasAttemptInFlight()) {
       requests.remove(pending.request.id());
     }
   }
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -22,9 +22,9 @@
 
   /** The endpoint list is seconds old: it only fills in where nothing better is known. */
   void endpointListed(HostState host) {
-    boolean isUnknown = !host.group.hasPrimary() && !host.replication.isRoleKnown();
-    if (host.endpoint.primary() && isUnknown) {
-      host.group.primary = host;
+    boolean isUnknown = !host.group().hasPrimary() && !host.replication.isRoleKnown();
+    if (host.endpoint().primary() && isUnknown) {
+      host.group().setPrimary(host);
     }
   }
 
@@ -33,7 +33,7 @@
     roleObserved(host, result.role(), now);
     reportReceived(host, result.report(), now);
     if (result.outcome() == AttemptOutcome.REPLICA_LAGGING && attempt.pending.isWrite()) {
-      host.replication.writeRefusedAt = now;
+      host.replication.writeRefused(now);
       roleObserved(host, HostRole.REPLICA, now);
     }
   }
@@ -46,7 +46,7 @@
     long position = (long) report.position();
     if (report.hasPosition() && position <= now) {
       host.replication.recordPosition(position, now);
-      if (position > host.replication.roleKnownAt) {
+      if (position > host.replication.roleKnownAt()) {
         roleObserved(host, report.role(), position);
       }
     }
@@ -54,20 +54,21 @@
 
   /** The latest evidence wins; an unresponsive host is no primary until it has answered a read. */
   private void roleObserved(HostState host, HostRole role, long evidenceAt) {
-    GroupState group = host.group;
-    boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt + HANDOVER_NANOS;
-    boolean isDoubtful = isHandingOver || host.isUnresponsive();
+    boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt() + HANDOVER_NANOS;
+    boolean isDoubtful = isHandingOver || host.health.isUnresponsive();
     if (!host.hasGroup() || !role.isKnown() || (role == HostRole.PRIMARY && isDoubtful)) {
       return;
     }
     host.replication.recordRoleEvidence(evidenceAt);
-    boolean isLatest = !group.hasPrimary() || evidenceAt > group.primary.replication.roleKnownAt;
+    GroupState group = host.group();
+    boolean isLatest =
+        !group.hasPrimary() || evidenceAt > group.primary().replication.roleKnownAt();
     if (role == HostRole.REPLICA) {
       group.clearPrimary(host);
-    } else if (group.primary != host && isLatest) {
-      String change = "primary of group " + host.endpoint.group() + " is now host " + host.id;
+    } else if (!group.isPrimary(host) && isLatest) {
+      String change = "primary of group " + host.endpoint().group() + " is now host " + host.id;
       context.actions().log(LogLevel.INFO, change);
-      group.primary = host;
+      group.setPrimary(host);
     }
   }
 
@@ -77,18 +78,19 @@
    */
   HostState selectForWrite(PendingRequest pending, long now) {
     GroupState group = pending.group;
-    if (group.hasPrimary() && outliers.isUsable(group.primary, now)) {
-      return limiter.hasFreeSlot(pending, group.primary, now) ? group.primary : null;
+    if (group.hasPrimary() && outliers.isUsable(group.primary(), now)) {
+      return limiter.hasFreeSlot(pending, group.primary(), now) ? group.primary() : null;
     }
     int maxAttempts = context.settings().maxAttempts() / DISCOVERY_DIVISOR;
-    if (group.primaryDiscovery != null
-        || pending.attempts.size() >= Math.min(group.members.size(), maxAttempts)) {
+    if (group.isDiscoveringPrimary()
+        || pending.attemptCount() >= Math.min(group.members().size(), maxAttempts)) {
       return null;
     }
-    for (HostState host : group.members) {
-      boolean isUnknown = !host.isPrimary() && host.replication.roleKnownAt < now - ROLE_TTL_NANOS;
-      if (isUnknown && !pending.avoidedHosts.contains(host) && isFree(pending, host, now)) {
-        group.primaryDiscovery = pending;
+    for (HostState host : group.members()) {
+      boolean isUnknown =
+          !host.isPrimary() && host.replication.roleKnownAt() < now - ROLE_TTL_NANOS;
+      if (isUnknown && !pending.avoids(host) && isFree(pending, host, now)) {
+        group.startPrimaryDiscovery(pending);
         return host;
       }
     }
@@ -106,7 +108,7 @@
 
   /** Asks a member for its role while requests wait and no primary is known. */
   void checkHealthIfPrimaryUnknown(HostState host) {
-    if (host.group.needsPrimary() && !host.isUnreachable()) {
+    if (host.group().needsPrimary() && !host.health.isUnreachable()) {
       healthChecks.checkHealth(host);
     }
   }
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -42,7 +42,7 @@
           pending.group, freshness.minStalenessBoundNanos, now);
     }
     boolean isLong = isLongRead(pending);
-    List<HostState> members = pending.group.members;
+    List<HostState> members = pending.group.members();
     int start = isLong || members.isEmpty() ? 0 : context.random().nextInt(members.size());
     HostState selected = null;
     for (int i = 0; i < members.size(); i++) {
@@ -65,7 +65,7 @@
 
   private Suitability bestSuitability(PendingRequest pending, long now) {
     Suitability best = Suitability.UNSUITABLE;
-    for (HostState host : pending.group.members) {
+    for (HostState host : pending.group.members()) {
       best = best.orBetter(suitability(pending, host, now));
     }
     return best;
@@ -88,7 +88,7 @@
   }
 
   private Suitability suitability(PendingRequest pending, HostState host, long now) {
-    if (!outliers.isUsable(host, now) || pending.avoidedHosts.contains(host)) {
+    if (!outliers.isUsable(host, now) || pending.avoids(host)) {
       return Suitability.UNSUITABLE;
     }
     boolean isLong = isLongRead(pending);
@@ -99,18 +99,18 @@
     if (isLong || host.isPrimary()) {
       return host.isPrimary() ? Suitability.PRIMARY_FALLBACK : Suitability.UNSUITABLE;
     }
-    long lagNanos = pending.requiredPosition - host.replication.position;
+    long lagNanos = pending.requiredPosition() - host.replication.position();
     if (lagNanos <= 0) {
       return Suitability.FRESH;
     }
     boolean servesStale = context.settings().laggingReadBehavior() == LaggingReadBehavior.SERVES;
     long catchUpNanos = Math.min(MAX_CATCH_UP_NANOS, lagNanos / CATCH_UP_DIVISOR);
     boolean refused =
-        host.replication.readRefusedAt > now - Math.max(MIN_CATCH_UP_NANOS, catchUpNanos);
+        host.replication.readRefusedAt() > now - Math.max(MIN_CATCH_UP_NANOS, catchUpNanos);
     if (servesStale || refused || needsPrimary) {
       return Suitability.UNSUITABLE;
     }
-    boolean isLikely = lagNanos <= now - host.replication.positionHeardAt;
+    boolean isLikely = lagNanos <= now - host.replication.positionHeardAt();
     return isLikely ? Suitability.LIKELY_FRESH : Suitability.LAGGING;
   }
 
@@ -127,7 +127,7 @@
    */
   private boolean takesLongReads(HostState host, long now) {
     List<HostState> usable =
-        host.group.replicas().stream().filter(each -> outliers.isUsable(each, now)).toList();
+        host.group().replicas().stream().filter(each -> outliers.isUsable(each, now)).toList();
     int count = Math.max(1, usable.size() / LONG_READ_DIVISOR);
     return usable.stream().limit(count).anyMatch(each -> each == host);
   }
--- a/router/src/main/java/rushwood/policy/ReplicationState.java
+++ b/router/src/main/java/rushwood/policy/ReplicationState.java
@@ -5,19 +5,52 @@
  * in nanoseconds, {@link HostState#NEVER} where nothing has been heard yet.
  */
 final class ReplicationState {
+  private long position = HostState.NEVER;
+  private long positionHeardAt = HostState.NEVER;
+  private long readRefusedAt = HostState.NEVER;
+  private long writeRefusedAt = HostState.NEVER;
+  private long roleKnownAt = HostState.NEVER;
+
   /** How far the host has applied the log, as a time; it may have applied more by now. */
-  long position = HostState.NEVER;
+  long position() {
+    return position;
+  }
+
+  /** When the position was last heard. */
+  long positionHeardAt() {
+    return positionHeardAt;
+  }
 
-  long positionHeardAt = HostState.NEVER;
+  /** Takes in a reported position. Positions never go back; one in the future cannot be true. */
+  void recordPosition(long reported, long now) {
+    if (reported <= now) {
+      position = Math.max(position, reported);
+      positionHeardAt = now;
+    }
+  }
+
+  /** When the host last refused a read because it lagged too far behind. */
+  long readRefusedAt() {
+    return readRefusedAt;
+  }
 
-  /** When the host last refused a read because it was too far behind. */
-  long readRefusedAt = HostState.NEVER;
+  void readRefused(long now) {
+    readRefusedAt = now;
+  }
 
   /** When the host last refused a write because it was not the primary. */
-  long writeRefusedAt = HostState.NEVER;
+  long writeRefusedAt() {
+    return writeRefusedAt;
+  }
+
+  void writeRefused(long now) {
+    writeRefusedAt = now;
+  }
 
   /** The time of the latest evidence of the host's role. */
-  long roleKnownAt = HostState.NEVER;
+  long roleKnownAt() {
+    return roleKnownAt;
+  }
 
   boolean isRoleKnown() {
     return roleKnownAt != HostState.NEVER;
@@ -26,12 +59,4 @@
   void recordRoleEvidence(long evidenceAt) {
     roleKnownAt = Math.max(roleKnownAt, evidenceAt);
   }
-
-  /** Takes in a reported position. Positions never go back; one in the future cannot be true. */
-  void recordPosition(long reported, long now) {
-    if (reported <= now) {
-      position = Math.max(position, reported);
-      positionHeardAt = now;
-    }
-  }
 }
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -67,8 +67,7 @@
     long timeoutNanos = components.deadlines.attemptTimeoutNanos(pending, now);
     long startWithinNanos = Math.min(timeoutNanos, RetryPolicy.retryDeadline(pending) - now);
     boolean isControl = components.lostAnswers.drawControlSample();
-    Attempt attempt = new Attempt(pending, host, now, isControl);
-    pending.attempts.add(attempt);
+    Attempt attempt = pending.startAttempt(host, now, isControl);
     host.inFlight.add(attempt);
     host.slowStart.tokens.take(context.serviceTimes().expected(pending));
     actions.send(pending.request.id(), host.id, timeoutNanos, startWithinNanos);
@@ -76,14 +75,14 @@
 
   /** Gives the free slots of all members, in order of id, to waiting requests. */
   void dispatchWaiting(GroupState group, long now) {
-    group.members.forEach(host -> dispatchWaiting(host, now));
+    group.members().forEach(host -> dispatchWaiting(host, now));
   }
 
   /** Gives a host's free slots to waiting requests, first attempts before retries. */
   void dispatchWaiting(HostState host, long now) {
     if (host.hasGroup()) {
-      dispatch(host.group.firstAttempts, host, now);
-      dispatch(host.group.retries, host, now);
+      dispatch(host.group().firstAttempts, host, now);
+      dispatch(host.group().retries, host, now);
     }
   }
 
@@ -116,11 +115,11 @@
     components.freshness.attemptFinished(attempt, result, now);
     components.primaries.attemptFinished(attempt, result, now);
     RetryPolicy.attemptFinished(attempt, result.outcome());
-    if (result.requestFinished() && !pending.finished) {
+    if (result.requestFinished() && !pending.isFinished()) {
       pending.finish();
     }
     dispatchWaiting(attempt.host, now);
-    if (!pending.finished && !pending.queued && !pending.hasAttemptInFlight()) {
+    if (!pending.isFinished() && !pending.isQueued() && !pending.hasAttemptInFlight()) {
       process(pending, now);
     }
     requests.forgetIfDone(pending);
@@ -128,8 +127,8 @@
 
   /** Ends a request whose client is gone: no answer is owed. */
   void clientDisconnected(RequestId request) {
-    PendingRequest pending = requests.get(request);
-    if (pending != null && !pending.finished) {
+    PendingRequest pending = requests.find(request);
+    if (pending != null && !pending.isFinished()) {
       requests.finish(pending);
       requests.forgetIfDone(pending);
     }
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -9,7 +9,7 @@
 
   /** Whether another attempt may be made now: within the limits, the retry budget and safety. */
   boolean canAttempt(PendingRequest pending, long now) {
-    return pending.attempts.size() < context.settings().maxAttempts()
+    return pending.attemptCount() < context.settings().maxAttempts()
         && pending.errorCount() < MAX_ERRORS
         && (!pending.isRetryCostly()
             || context.overloadSignals().canRetry(now, pending.request.group()))
@@ -32,7 +32,7 @@
     }
     HostState first = pending.firstPossiblyExecuted().host;
     return isSafe(pending, now)
-        && pending.requestClass.keyScope().isShared(first.endpoint, host.endpoint);
+        && pending.requestClass.keyScope().isShared(first.endpoint(), host.endpoint());
   }
 
   /** Until when an attempt may begin: its connection must not come up after the key's window. */
@@ -54,9 +54,9 @@
   static void attemptFinished(Attempt attempt, AttemptOutcome outcome) {
     switch (outcome) {
       case REPLICA_LAGGING, ERROR, MALFORMED, CONNECTION_LOST, NOT_SENT ->
-          attempt.pending.avoidedHosts.add(attempt.host);
+          attempt.pending.avoid(attempt.host);
       default -> {} // Another host would do no better, or health and limits keep it away.
     }
-    attempt.outcome = outcome;
+    attempt.end(outcome);
   }
 }
--- a/router/src/main/java/rushwood/policy/SlowStart.java
+++ b/router/src/main/java/rushwood/policy/SlowStart.java
@@ -52,12 +52,12 @@
     double rate = 0;
     double weight = 0;
     for (HostState other : context.hosts().hosts()) {
-      if (other.hasGroup() && other.isHealthy() && isWarm(other, now)) {
+      if (other.hasGroup() && other.health.isHealthy() && isWarm(other, now)) {
         rate += other.slowStart.completedWorkRate();
-        weight += other.endpoint.weight();
+        weight += other.endpoint().weight();
       }
     }
-    return weight > 0 ? host.endpoint.weight() * rate / weight : host.concurrencyLimit;
+    return weight > 0 ? host.endpoint().weight() * rate / weight : host.concurrency.limit();
   }
 
   /** Updates the host's rate of completed work; called once a check interval. */
--- a/router/src/main/java/rushwood/policy/SlowStartState.java
+++ b/router/src/main/java/rushwood/policy/SlowStartState.java
@@ -8,15 +8,22 @@
   /** The start time of a process that started longer ago than slow start lasts. */
   private static final long LONG_AGO = 0;
 
-  /** When the process of the host started, as a clock time. */
-  long startedAt = LONG_AGO;
-
   /** Work that may still be sent to the host during slow start. */
   final TokenBucket tokens = new TokenBucket();
 
   private final ExponentialAverage completedWorkRate = new ExponentialAverage(0);
+  private long startedAt = LONG_AGO;
   private double completedWork;
 
+  /** When the process of the host started, as a clock time; 0 for long ago. */
+  long startedAt() {
+    return startedAt;
+  }
+
+  void processStarted(long time) {
+    startedAt = time;
+  }
+
   /** How long ago the process started; the maximum if that was long ago. */
   long ageNanos(long now) {
     return startedAt == LONG_AGO ? Long.MAX_VALUE : now - startedAt;
--- a/router/src/test/java/rushwood/policy/GroupStateTest.java
+++ b/router/src/test/java/rushwood/policy/GroupStateTest.java
@@ -9,24 +9,12 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rushwood.api.Endpoint;
-import rushwood.api.GroupId;
-import rushwood.api.HostId;
-import rushwood.api.ZoneId;
 
 class GroupStateTest {
-  private static HostState host(String id, double weight) {
-    HostState host = new HostState(new HostId(id), 1);
-    host.endpoint =
-        new Endpoint(
-            host.id, new GroupId(0), new ZoneId("z"), weight, 0, false, Endpoint.State.READY);
-    return host;
-  }
-
   @Test
   void drawsHostsInProportionToTheirWeights() {
-    HostState light = host("a", 1);
-    HostState heavy = host("b", 3);
+    HostState light = PolicyFixtures.host("a", 1);
+    HostState heavy = PolicyFixtures.host("b", 3);
     SplittableRandom random = new SplittableRandom(1);
     Map<HostState, Integer> draws = new HashMap<>();
     for (int i = 0; i < 10_000; i++) {
@@ -40,15 +28,15 @@
   @Test
   void keepsMembersInOrderOfIdAndForgetsAPrimaryThatLeaves() {
     GroupState group = new GroupState();
-    HostState second = host("b", 1);
-    HostState first = host("a", 1);
+    HostState second = PolicyFixtures.host("b", 1);
+    HostState first = PolicyFixtures.host("a", 1);
     group.add(second);
     group.add(first);
-    group.primary = second;
-    assertEquals(List.of(first, second), group.members);
+    group.setPrimary(second);
+    assertEquals(List.of(first, second), group.members());
     assertEquals(List.of(first), group.replicas());
     second.leaveGroup();
-    assertNull(group.primary);
-    assertEquals(List.of(first), group.members);
+    assertNull(group.primary());
+    assertEquals(List.of(first), group.members());
   }
 }
--- a/router/src/test/java/rushwood/policy/InFlightAttemptsTest.java
+++ b/router/src/test/java/rushwood/policy/InFlightAttemptsTest.java
@@ -4,10 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import rushwood.api.HostId;
 
 class InFlightAttemptsTest {
-  private final HostState host = new HostState(new HostId("a"), 1);
+  private final HostState host = PolicyFixtures.host("a", 1);
   private final InFlightAttempts attempts = host.inFlight;
 
   private Attempt send(long sentAt) {
@@ -47,9 +46,9 @@
     Attempt atTheSameTime = send(2);
     Attempt later = send(3);
     attempts.countOvertaken(answered);
-    assertEquals(1, earlier.overtakenBy);
-    assertEquals(0, answered.overtakenBy);
-    assertEquals(0, atTheSameTime.overtakenBy);
-    assertEquals(0, later.overtakenBy);
+    assertEquals(1, earlier.overtakenBy());
+    assertEquals(0, answered.overtakenBy());
+    assertEquals(0, atTheSameTime.overtakenBy());
+    assertEquals(0, later.overtakenBy());
   }
 }
--- a/router/src/test/java/rushwood/policy/PolicyFixtures.java
+++ b/router/src/test/java/rushwood/policy/PolicyFixtures.java
@@ -1,10 +1,13 @@
 package rushwood.policy;
 
+import rushwood.api.Endpoint;
 import rushwood.api.GroupId;
+import rushwood.api.HostId;
 import rushwood.api.Request;
 import rushwood.api.RequestClass;
 import rushwood.api.RequestClassFixture;
 import rushwood.api.RequestId;
+import rushwood.api.ZoneId;
 
 /** Objects that tests of single classes of the policy need. */
 final class PolicyFixtures {
@@ -12,6 +15,20 @@
 
   private PolicyFixtures() {}
 
+  /** A listed host that serves no group yet, with a concurrency limit of 1. */
+  static HostState host(String id, double weight) {
+    Endpoint endpoint =
+        new Endpoint(
+            new HostId(id),
+            new GroupId(0),
+            new ZoneId("z"),
+            weight,
+            0,
+            false,
+            Endpoint.State.READY);
+    return new HostState(endpoint, 1);
+  }
+
   /** An idempotent read of class 0 that arrives at time 0, with a deadline a second later. */
   static PendingRequest pendingRead(String id) {
     return pendingRead(id, new GroupState());
--- a/router/src/test/java/rushwood/policy/ReplicationStateTest.java
+++ b/router/src/test/java/rushwood/policy/ReplicationStateTest.java
@@ -13,16 +13,16 @@
   void positionNeverGoesBackButTheReportStillCountsAsHeard() {
     replication.recordPosition(50, 60);
     replication.recordPosition(40, 70);
-    assertEquals(50, replication.position);
-    assertEquals(70, replication.positionHeardAt);
+    assertEquals(50, replication.position());
+    assertEquals(70, replication.positionHeardAt());
   }
 
   @Test
   void positionInTheFutureIsIgnored() {
     replication.recordPosition(50, 60);
     replication.recordPosition(71, 70);
-    assertEquals(50, replication.position);
-    assertEquals(60, replication.positionHeardAt);
+    assertEquals(50, replication.position());
+    assertEquals(60, replication.positionHeardAt());
   }
 
   @Test
@@ -31,6 +31,6 @@
     replication.recordRoleEvidence(50);
     replication.recordRoleEvidence(40);
     assertTrue(replication.isRoleKnown());
-    assertEquals(50, replication.roleKnownAt);
+    assertEquals(50, replication.roleKnownAt());
   }
 }
--- a/router/src/test/java/rushwood/policy/SlowStartStateTest.java
+++ b/router/src/test/java/rushwood/policy/SlowStartStateTest.java
@@ -12,14 +12,14 @@
   @Test
   void hostWithoutAStartTimeStartedLongAgo() {
     assertEquals(Long.MAX_VALUE, slowStart.ageNanos(100));
-    slowStart.startedAt = 60;
+    slowStart.processStarted(60);
     assertEquals(40, slowStart.ageNanos(100));
   }
 
   @Test
   void tokensBelongToTheProcessDuringWhichTheyWereRefilled() {
     assertFalse(slowStart.hasTokensOfEarlierProcess());
-    slowStart.startedAt = 60;
+    slowStart.processStarted(60);
     assertTrue(slowStart.hasTokensOfEarlierProcess());
     slowStart.tokens.reset(1, 70);
     assertFalse(slowStart.hasTokensOfEarlierProcess());
