--- a/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
@@ -1,42 +1,93 @@
 package rushwood.policy;
 
 import rushwood.api.AttemptResult;
+import rushwood.api.RoutingSettings;
 
 /**
  * Limits the attempts in flight at each host. A limit rises while answers are quick and slots are
  * short, and falls while answers are slow or missing, so that requests queue in the router, which
  * can order them, and not in the host. A limit below one is one slot with a pause after each use.
  */
-record ConcurrencyLimiter(
-    PolicyContext context, SlowStart slowStart, HealthCheckPolicy healthChecks) {
-  private static final double MIN_LIMIT_OF_ALL_ROUTERS = 6; // at one host: keeps several cores busy
-  private static final int INITIAL_MULTIPLE = 2; // times the minimum limit
-  private static final double PRIMARY_READ_SHARE = 0.5; // of its slots; the rest is for writes
-  private static final double MAX_RELATIVE_STEP = 0.25; // of the limit; applies below two
-  private static final double LATENCY_RATIO_SMOOTHING = 0.1; // about the last ten answers count
-  private static final double FULL_WEIGHT_GAP_NANOS = 2e9; // answers this far apart count in full
-  private static final double TARGET_LATENCY_RATIO = 0.35; // the rest is for the wait queue
-  private static final long MAX_IDLE_CREDIT_NANOS = 3_000_000_000L; // of unused time, for bursts
-  private static final double MAX_WORK_MULTIPLE = 3; // times the expected service time
+final class ConcurrencyLimiter {
+  /** The least limit of all routers together at one host: it keeps several cores busy. */
+  private static final double MIN_LIMIT_OF_ALL_ROUTERS = 6;
+
+  /** The first limit of a host, as a multiple of the least one. */
+  private static final int INITIAL_MULTIPLE = 2;
+
+  /** The share of its slots that the primary gives to reads; the rest is for writes. */
+  private static final double PRIMARY_READ_SHARE = 0.5;
+
+  /** The largest step of a limit, as a share of it; it applies to limits below two. */
+  private static final double MAX_RELATIVE_STEP = 0.25;
+
+  /** The weight of an answer in the latency ratio: about the last ten answers count. */
+  private static final double LATENCY_RATIO_SMOOTHING = 0.1;
+
+  /** An answer that comes so long after the last one replaces the latency ratio. */
+  private static final double FULL_WEIGHT_GAP_NANOS = 2e9;
+
+  /**
+   * The latency ratio above which a host is slow: the rest of the objective time is for the wait
+   * queue.
+   */
+  private static final double TARGET_LATENCY_RATIO = 0.35;
+
+  /** Unused time that a shared slot may make up for, since requests come in bursts. */
+  private static final long MAX_IDLE_CREDIT_NANOS = 3_000_000_000L;
+
+  /** The longest duration of an attempt that counts for a pause, in expected service times. */
+  private static final double MAX_WORK_MULTIPLE = 3;
 
   /** Pause of a host that refuses or fails requests: it may be draining before the list says so. */
   private static final long REFUSAL_PAUSE_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS / 2;
 
-  private static double minLimit(PolicyContext context) {
-    double share = MIN_LIMIT_OF_ALL_ROUTERS / Math.max(1, context.settings().routerCount());
+  private final double minLimit;
+  private final ServiceTimes serviceTimes;
+  private final SlowStart slowStart;
+  private final HealthCheckPolicy healthChecks;
+
+  ConcurrencyLimiter(
+      RoutingSettings settings,
+      ServiceTimes serviceTimes,
+      SlowStart slowStart,
+      HealthCheckPolicy healthChecks) {
+    minLimit = minLimit(settings);
+    this.serviceTimes = serviceTimes;
+    this.slowStart = slowStart;
+    this.healthChecks = healthChecks;
+  }
+
+  /** This router's part of the least limit of all routers: whole slots, or a share of one. */
+  private static double minLimit(RoutingSettings settings) {
+    double share = MIN_LIMIT_OF_ALL_ROUTERS / Math.max(1, settings.routerCount());
     return share < 1 ? share : Math.floor(share);
   }
 
   /** Whether there are so many routers that several share a slot of a host. */
-  static boolean areSlotsShared(PolicyContext context) {
-    return minLimit(context) < 1;
+  static boolean areSlotsShared(RoutingSettings settings) {
+    return minLimit(settings) < 1;
   }
 
+  /** The limit of a host of which nothing is known yet. */
   double initialLimit() {
-    return INITIAL_MULTIPLE * minLimit(context);
+    return INITIAL_MULTIPLE * minLimit;
   }
 
-  /** Whether the host has a free slot for that request, which it may use safely. */
+  /**
+   * Whether the host has a free slot for that request, which it may use safely. The first case that
+   * applies:
+   *
+   * <ol>
+   *   <li>the host is due for a trial request: only if the request is idempotent;
+   *   <li>the limit in force, or for a read the part of it that a primary gives to reads, is used
+   *       up: no;
+   *   <li>the request may have run, and may not run at that host again ({@link
+   *       RetryPolicy#isSafeOn}): no;
+   *   <li>the host is cold, and its budget is used up ({@link SlowStart#hasTokens}): no;
+   *   <li>otherwise yes.
+   * </ol>
+   */
   boolean hasFreeSlot(PendingRequest pending, HostState host, long now) {
     if (healthChecks.isTrialDue(host, now)) {
       return pending.isIdempotent();
@@ -53,13 +104,21 @@
     return host.occupiedSlots() < effectiveLimit(host, now) || healthChecks.isTrialDue(host, now);
   }
 
+  /**
+   * The limit in force: 0 in a pause, 1 for an ejected host, else the host's limit, of which a cold
+   * host has a share, and one slot at the least.
+   */
   private double effectiveLimit(HostState host, long now) {
     if (host.concurrency.isPaused(now)) {
       return 0;
     }
-    double oneSlot = Math.min(1, 1 / host.concurrency.limit());
+    if (!host.health.isHealthy()) {
+      return 1;
+    }
+    double limit = host.concurrency.limit();
+    double oneSlot = Math.min(1, 1 / limit);
     double share = Math.max(oneSlot, slowStart.share(host, now));
-    return host.health.isHealthy() ? host.concurrency.limit() * share : 1;
+    return limit * share;
   }
 
   /** Whether the host's answers have lately taken longer than they should. */
@@ -67,51 +126,80 @@
     return host.concurrency.latencyRatio() > TARGET_LATENCY_RATIO;
   }
 
+  /**
+   * Adjusts limit and pause of a host to the result of an attempt:
+   *
+   * <ul>
+   *   <li>success: the limit follows the duration; the hosts that failed the same request before
+   *       were at fault and pause;
+   *   <li>refused for overload: counts as an answer that took the whole objective time, and the
+   *       host pauses;
+   *   <li>timed out: counts as an answer that took at least the objective time, unless its answer
+   *       was presumed lost;
+   *   <li>other outcomes say nothing of the host's load.
+   * </ul>
+   *
+   * After each of them a shared slot pauses.
+   */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
     double latencyRatio = result.durationNanos() / attempt.pending.objectiveTime();
     switch (result.outcome()) {
       case SUCCESS -> {
         adjust(host, latencyRatio, now);
-        // Another host has served the request, so the hosts that failed it were at fault.
         for (HostState failed : attempt.pending.hostsWithErrors()) {
-          failed.concurrency.pauseUntil(now + REFUSAL_PAUSE_NANOS);
+          pauseAfterRefusal(failed, now);
         }
       }
       case OVERLOADED -> {
         adjust(host, 1, now);
-        host.concurrency.pauseUntil(now + REFUSAL_PAUSE_NANOS);
+        pauseAfterRefusal(host, now);
       }
       case TIMED_OUT -> {
         if (!attempt.isPresumedLost()) {
           adjust(host, Math.max(1, latencyRatio), now);
         }
       }
-      default -> {} // The others say nothing of the host's load.
+      case ERROR,
+          MALFORMED,
+          REPLICA_LAGGING,
+          CONNECTION_LOST,
+          CANCELLED,
+          CONNECT_FAILED,
+          NOT_SENT -> {}
     }
     pauseToLimit(attempt, result.durationNanos(), now);
   }
 
-  /** Adjusts the limit to an answer, by the share of its request's objective time that it took. */
+  /**
+   * Adjusts the limit to an answer, by the share of its request's objective time that it took: down
+   * if the host is slow, up if it is not, the answer was quick and all slots were in use. A limit
+   * changes by one slot in as many answers as it has slots.
+   */
   private void adjust(HostState host, double latencyRatio, long now) {
     double gapWeight = Math.min(1, (now - host.health.lastAnswerAt()) / FULL_WEIGHT_GAP_NANOS);
     host.concurrency.recordLatencyRatio(latencyRatio, Math.max(LATENCY_RATIO_SMOOTHING, gapWeight));
     double limit = host.concurrency.limit();
     double step = Math.min(1 / limit, limit * MAX_RELATIVE_STEP);
     if (isSlow(host)) {
-      host.concurrency.adjustLimit(Math.max(minLimit(context), limit - step));
+      host.concurrency.adjustLimit(Math.max(minLimit, limit - step));
     } else if (latencyRatio <= TARGET_LATENCY_RATIO && host.inFlight.size() + 1 >= limit) {
       host.concurrency.adjustLimit(limit + step);
     }
   }
 
+  private static void pauseAfterRefusal(HostState host, long now) {
+    host.concurrency.pauseUntil(now + REFUSAL_PAUSE_NANOS);
+  }
+
   /** Pauses a host whose limit is below one, so long that its average use equals the limit. */
   private void pauseToLimit(Attempt attempt, long durationNanos, long now) {
     HostState host = attempt.host;
-    double maxWork = MAX_WORK_MULTIPLE * context.serviceTimes().expected(attempt.pending);
-    double pause = Math.min(durationNanos, maxWork) * Math.max(0, 1 / host.concurrency.limit() - 1);
-    long pauseStart =
-        Math.max(host.concurrency.pausedUntil(), now - (isSlow(host) ? 0 : MAX_IDLE_CREDIT_NANOS));
+    double maxWork = MAX_WORK_MULTIPLE * serviceTimes.expected(attempt.pending);
+    double work = Math.min(durationNanos, maxWork);
+    double pause = work * Math.max(0, 1 / host.concurrency.limit() - 1);
+    long idleCreditNanos = isSlow(host) ? 0 : MAX_IDLE_CREDIT_NANOS;
+    long pauseStart = Math.max(host.concurrency.pausedUntil(), now - idleCreditNanos);
     host.concurrency.pauseUntil(pauseStart + (long) pause);
   }
 }
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -22,14 +22,13 @@
  * settings, seed and calls give the same decisions.
  */
 public final class DefaultRoutingPolicy implements RoutingPolicy {
-  static final long CHECK_INTERVAL_NANOS = 100_000_000L; // of hosts and wait queues
+  /** Between two checks of all hosts and wait queues. */
+  static final long CHECK_INTERVAL_NANOS = 100_000_000L;
 
-  private static final double INITIAL_SERVICE_TIME_SHARE = 0.25; // of the objective; not measured
-  private static final double SERVICE_TIME_SMOOTHING = 0.02; // about the last fifty answers count
-  private static final long MIN_RESUBSCRIBE_DELAY_NANOS = 2 * CHECK_INTERVAL_NANOS;
-  private static final int RESUBSCRIBE_DIVISOR = 4; // of the refresh time: the longest delay
-
-  private final PolicyContext context;
+  private final boolean isRemovalBinding;
+  private final long clockResolutionNanos;
+  private final HostTable hosts;
+  private final DeadlineQueue deadlineQueue;
   private final PolicyComponents components;
   private final RequestLifecycle requests;
   private final EndpointSubscription subscription;
@@ -47,25 +46,24 @@
       RandomGenerator random,
       PolicyActions actions,
       OverloadSignals overloadSignals) {
-    ServiceTimes serviceTimes =
-        new ServiceTimes(
-            settings.requestClasses(), INITIAL_SERVICE_TIME_SHARE, SERVICE_TIME_SMOOTHING);
-    context = new PolicyContext(settings, random, actions, overloadSignals, serviceTimes);
-    components = new PolicyComponents(context);
-    requests = new RequestLifecycle(context, components);
-    long maxDelayNanos = settings.refreshWithinNanos() / RESUBSCRIBE_DIVISOR;
-    subscription = new EndpointSubscription(context, MIN_RESUBSCRIBE_DELAY_NANOS, maxDelayNanos);
+    isRemovalBinding = settings.isRemovalBinding();
+    clockResolutionNanos = settings.clockResolutionNanos();
+    components = new PolicyComponents(settings, random, actions, overloadSignals);
+    hosts = components.hosts;
+    deadlineQueue = components.deadlineQueue;
+    subscription = components.subscription;
+    requests = new RequestLifecycle(actions, overloadSignals, components);
   }
 
   @Override
   public void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache) {
-    if (context.settings().isRemovalBinding()) {
-      context.hosts().removeUnlisted(endpoints);
+    if (isRemovalBinding) {
+      hosts.removeUnlisted(endpoints);
     }
     endpointsUpdated(now, endpoints);
     if (fromCache) {
       nextCheckAt = now;
-      context.deadlineQueue().requestTimer(now + context.settings().clockResolutionNanos());
+      deadlineQueue.requestTimer(now + clockResolutionNanos);
       subscription.start();
     }
   }
@@ -74,13 +72,13 @@
   public void endpointsUpdated(long now, List<Endpoint> changes) {
     subscription.updateReceived();
     changes.forEach(this::update);
-    context.hosts().groups().forEach(group -> requests.dispatchWaiting(group, now));
+    hosts.groups().forEach(group -> requests.dispatchWaiting(group, now));
   }
 
   /** A draining or removed host gets no new attempts from now on, even in its grace period. */
   private void update(Endpoint endpoint) {
-    HostState host = context.hosts().getOrAdd(endpoint, components.limiter.initialLimit());
-    if (endpoint.state() == Endpoint.State.REMOVED && !context.settings().isRemovalBinding()) {
+    HostState host = hosts.getOrAdd(endpoint, components.limiter.initialLimit());
+    if (endpoint.state() == Endpoint.State.REMOVED && !isRemovalBinding) {
       return; // Such a list does not prove which hosts are up: their health decides.
     }
     host.listed(endpoint);
@@ -88,7 +86,7 @@
       host.leaveGroup();
       return;
     }
-    context.hosts().group(endpoint.group()).add(host);
+    hosts.group(endpoint.group()).add(host);
     if (endpoint.startedAt() > host.slowStart.startedAt()) {
       host.processRestarted(endpoint.startedAt());
     }
@@ -122,8 +120,8 @@
 
   @Override
   public void healthCheckFinished(long now, HostId id, boolean answered, LoadReport report) {
-    HostState host = context.hosts().host(id);
-    host.health.healthCheckEnded();
+    HostState host = hosts.host(id);
+    components.healthChecks.healthCheckFinished(host);
     if (answered) { // No answer proves nothing: hosts turn checks away when many routers ask.
       components.outliers.healthCheckAnswered(host, now);
     }
@@ -136,11 +134,11 @@
     requests.endExpired(now);
     if (now >= nextCheckAt) {
       nextCheckAt = now + CHECK_INTERVAL_NANOS;
-      context.hosts().groups().forEach(group -> check(group, now));
-      context.hosts().forgetRemoved();
+      hosts.groups().forEach(group -> check(group, now));
+      hosts.forgetRemoved();
     }
     subscription.retryIfDue(now);
-    context.deadlineQueue().rearm(Math.min(nextCheckAt, subscription.retryAt()));
+    deadlineQueue.rearm(Math.min(nextCheckAt, subscription.retryAt()));
   }
 
   /** Checks the hosts of a group, then what waits for them. */
--- a/router/src/main/java/rushwood/policy/EndpointSubscription.java
+++ b/router/src/main/java/rushwood/policy/EndpointSubscription.java
@@ -1,28 +1,46 @@
 package rushwood.policy;
 
+import java.util.random.RandomGenerator;
+import rushwood.api.PolicyActions;
+import rushwood.api.RoutingSettings;
+
 /**
- * Asks for the endpoint list, and asks again after failures: after delays that double, with jitter
- * so that routers that failed together spread out.
+ * Asks for the endpoint list, where the deployment has one to ask for, and asks again after
+ * failures: after delays that double, with jitter so that routers that failed together spread out.
  */
 final class EndpointSubscription {
+  /** The first delay. */
+  private static final long MIN_DELAY_NANOS = 2 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
+
+  /** The longest delay is this part of the time within which a failed request is repeated. */
+  private static final int MAX_DELAY_DIVISOR = 4;
+
   private static final long NOT_PLANNED = Long.MAX_VALUE;
 
-  private final PolicyContext context;
-  private final long minDelayNanos;
+  private final boolean subscribes;
   private final long maxDelayNanos;
+  private final RandomGenerator random;
+  private final PolicyActions actions;
+  private final DeadlineQueue timer;
   private long delayNanos;
   private long retryAt = NOT_PLANNED;
 
-  EndpointSubscription(PolicyContext context, long minDelayNanos, long maxDelayNanos) {
-    this.context = context;
-    this.minDelayNanos = minDelayNanos;
-    this.maxDelayNanos = maxDelayNanos;
+  EndpointSubscription(
+      RoutingSettings settings,
+      RandomGenerator random,
+      PolicyActions actions,
+      DeadlineQueue timer) {
+    subscribes = settings.subscribesToEndpoints();
+    maxDelayNanos = settings.refreshWithinNanos() / MAX_DELAY_DIVISOR;
+    this.random = random;
+    this.actions = actions;
+    this.timer = timer;
   }
 
   /** Asks for the list, where the deployment has one to ask for. */
   void start() {
-    if (context.settings().subscribesToEndpoints()) {
-      context.actions().subscribeToEndpoints();
+    if (subscribes) {
+      actions.subscribeToEndpoints();
     }
   }
 
@@ -33,15 +51,16 @@
 
   /** Plans to ask again, between a half and one and a half of the current delay from now. */
   void failed(long now) {
-    delayNanos = Math.min(Math.max(2 * delayNanos, minDelayNanos), maxDelayNanos);
-    retryAt = now + delayNanos / 2 + context.random().nextLong(delayNanos);
-    context.deadlineQueue().requestTimer(retryAt);
+    delayNanos = Math.min(Math.max(2 * delayNanos, MIN_DELAY_NANOS), maxDelayNanos);
+    retryAt = now + delayNanos / 2 + random.nextLong(delayNanos);
+    timer.requestTimer(retryAt);
   }
 
+  /** Asks again if that is due. */
   void retryIfDue(long now) {
     if (now >= retryAt) {
       retryAt = NOT_PLANNED;
-      context.actions().subscribeToEndpoints();
+      actions.subscribeToEndpoints();
     }
   }
 
--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -1,30 +1,48 @@
 package rushwood.policy;
 
+import java.util.random.RandomGenerator;
+
 /**
  * Finds attempts whose answer will not come: those that have waited long while many later attempts
  * at the same host were answered. They hold no slot, do not count as slow, and are retried. At a
- * slow host few overtake others. The cost: a long request among short ones may seem lost.
+ * slow host few overtake others. A long request among short ones may seem lost.
  */
 final class LostAnswerDetector {
-  private static final double LATE_MULTIPLE = 3; // expected service times: more than a short pause
-  private static final int CERTAIN_LOSS_MULTIPLE = 3; // overtaking answers per attempt in flight
-  private static final int PROBABLE_LOSS_COUNT = 3; // overtaking answers; one or two may be chance
-  private static final double HIGH_LOSS_RATIO = 0.2; // above it, a probable loss is enough
-  private static final double LOSS_RATIO_SMOOTHING = 0.05; // the weight of a certain loss
-  private static final int ANSWER_WEIGHT_DIVISOR = 20; // an answer weighs this many times less
+  /** An attempt is late after that many expected service times: more than a short pause. */
+  private static final double LATE_MULTIPLE = 3;
+
+  /** A loss is certain after that many overtaking answers per attempt in flight at the host. */
+  private static final int CERTAIN_LOSS_MULTIPLE = 3;
+
+  /** A loss is probable after that many overtaking answers; one or two may be chance. */
+  private static final int PROBABLE_LOSS_COUNT = 3;
+
+  /** Above this ratio of certain losses, a probable loss is enough. */
+  private static final double HIGH_LOSS_RATIO = 0.2;
+
+  /** The weight of a certain loss in the loss ratio. */
+  private static final double LOSS_RATIO_SMOOTHING = 0.05;
+
+  /** An answer weighs this many times less in the loss ratio than a certain loss. */
+  private static final int ANSWER_WEIGHT_DIVISOR = 20;
 
   /** One attempt in this many waits until its loss is certain, to measure the loss ratio. */
   private static final int CONTROL_SAMPLE_INTERVAL = 4;
 
-  private final PolicyContext context;
+  private final RandomGenerator random;
+  private final ServiceTimes serviceTimes;
+  private final PendingRequests requests;
   private double lossRatio;
 
-  LostAnswerDetector(PolicyContext context) {
-    this.context = context;
+  LostAnswerDetector(RandomGenerator random, ServiceTimes serviceTimes, PendingRequests requests) {
+    this.random = random;
+    this.serviceTimes = serviceTimes;
+    this.requests = requests;
   }
 
+  /** Whether an attempt that is sent now is a control sample. */
   boolean drawControlSample() {
-    return context.random().nextInt(CONTROL_SAMPLE_INTERVAL) == 0;
+    return random.nextInt(CONTROL_SAMPLE_INTERVAL) == 0;
   }
 
   /** Counts an answer against the attempts that were sent to its host before it. */
@@ -34,7 +52,7 @@
     check(answered.host, now);
   }
 
-  /** Marks lost attempts and cancels what is hopeless at that host. */
+  /** Marks the attempts at that host that are lost, and cancels those that are better retried. */
   void check(HostState host, long now) {
     int certainLoss = CERTAIN_LOSS_MULTIPLE * host.inFlight.size();
     int probableLoss = lossRatio > HIGH_LOSS_RATIO ? PROBABLE_LOSS_COUNT : certainLoss;
@@ -45,24 +63,23 @@
         lossRatio += isCertain ? (1 - lossRatio) * LOSS_RATIO_SMOOTHING : 0;
         host.inFlight.presumeLost(attempt);
       }
-      if (isHopeless(attempt, now) && !attempt.pending.isFinished()) {
-        context.requests().cancelAttempt(attempt.pending);
+      if (isBetterRetried(attempt, now) && !attempt.pending.isFinished()) {
+        requests.cancelAttempt(attempt.pending);
       }
     }
   }
 
   private boolean isLate(Attempt attempt, long now) {
-    double expected = context.serviceTimes().expected(attempt.pending);
+    double expected = serviceTimes.expected(attempt.pending);
     return now - attempt.sentAt > LATE_MULTIPLE * expected;
   }
 
   /** Lost with time left for a retry, or late at an unresponsive host; and safe to retry. */
-  private boolean isHopeless(Attempt attempt, long now) {
+  private boolean isBetterRetried(Attempt attempt, long now) {
     PendingRequest pending = attempt.pending;
-    double retryEnd = now + context.serviceTimes().expected(pending);
-    boolean isHopeless =
-        (attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline)
-            || (attempt.host.health.isUnresponsive() && isLate(attempt, now));
-    return isHopeless && (pending.isIdempotent() || pending.hasIdempotencyKey());
+    double retryEnd = now + serviceTimes.expected(pending);
+    boolean isLostInTime = attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline;
+    boolean isStuck = attempt.host.health.isUnresponsive() && isLate(attempt, now);
+    return (isLostInTime || isStuck) && RetryPolicy.canRetryAfterCancel(pending);
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -4,23 +4,60 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
 import rushwood.api.LogLevel;
+import rushwood.api.OverloadSignals;
+import rushwood.api.PolicyActions;
 
 /**
  * Ejects hosts that cannot be reached or answer nothing, and takes them back. An ejected host loses
  * its role as primary and gets nothing but trial requests.
+ *
+ * <table>
+ *   <caption>Transitions</caption>
+ *   <tr><th>from</th><th>to</th><th>when</th></tr>
+ *   <tr><td>any</td><td>unreachable</td><td>a connection to it fails, though it has not answered
+ *       since that attempt was sent; or the connection of its only attempt breaks</td></tr>
+ *   <tr><td>healthy</td><td>unresponsive</td><td>more than {@value #MAX_MISSING_ANSWERS} answers
+ *       are missing</td></tr>
+ *   <tr><td>unreachable</td><td>healthy</td><td>it answers a health check</td></tr>
+ *   <tr><td>unresponsive</td><td>healthy</td><td>it answers an attempt</td></tr>
+ * </table>
  */
-record OutlierDetector(
-    PolicyContext context, HealthCheckPolicy healthChecks, LostAnswerDetector lostAnswers) {
-  private static final double MAX_MISSING_ANSWERS = 12; // by chance once in 100,000
+final class OutlierDetector {
+  /** So many missing answers are chance once in 100,000. */
+  private static final double MAX_MISSING_ANSWERS = 12;
+
+  /** After a longer outage the process of a host has probably restarted, and is cold. */
   private static final long MAX_WARM_OUTAGE_NANOS = 2 * HealthCheckPolicy.TRIAL_INTERVAL_NANOS;
 
-  /** Whether the host may get requests: ejection never empties a group. */
+  private final PolicyActions actions;
+  private final OverloadSignals overloadSignals;
+  private final ServiceTimes serviceTimes;
+  private final HealthCheckPolicy healthChecks;
+  private final LostAnswerDetector lostAnswers;
+
+  OutlierDetector(
+      PolicyActions actions,
+      OverloadSignals overloadSignals,
+      ServiceTimes serviceTimes,
+      HealthCheckPolicy healthChecks,
+      LostAnswerDetector lostAnswers) {
+    this.actions = actions;
+    this.overloadSignals = overloadSignals;
+    this.serviceTimes = serviceTimes;
+    this.healthChecks = healthChecks;
+    this.lostAnswers = lostAnswers;
+  }
+
+  /**
+   * Whether the host may get requests: it is healthy, or is due for a trial request; or no member
+   * of its group is healthy, since ejection never empties a group, and the connect backoff allows
+   * an attempt where the host is unreachable.
+   */
   boolean isUsable(HostState host, long now) {
     return host.health.isHealthy()
         || healthChecks.isTrialDue(host, now)
         || (host.group().hasNoHealthyMember()
-            && (!host.health.isUnreachable()
-                || context.overloadSignals().canConnect(now, host.id)));
+            && (!host.health.isUnreachable() || overloadSignals.canConnect(now, host.id)));
   }
 
   /** A broken connection says nothing of a host that answers, or has other attempts in flight. */
@@ -39,6 +76,7 @@
     }
   }
 
+  /** An answered health check restores an unreachable host; an unresponsive one may answer them. */
   void healthCheckAnswered(HostState host, long now) {
     if (host.health.isUnreachable()) {
       restore(host, now);
@@ -55,10 +93,9 @@
   }
 
   private void restore(HostState host, long now) {
-    context.actions().log(LogLevel.INFO, "restored host " + host.id + ": it answers again");
+    actions.log(LogLevel.INFO, "restored host " + host.id + ": it answers again");
     if (host.health.isUnreachable() && now - host.health.ejectedAt() > MAX_WARM_OUTAGE_NANOS) {
-      host.processRestarted(
-          now); // after so long an outage its process has probably restarted, and is cold
+      host.processRestarted(now);
     }
     host.health.restore();
   }
@@ -68,7 +105,7 @@
       return;
     }
     String reason = status.name().toLowerCase(Locale.ROOT);
-    context.actions().log(LogLevel.WARN, "ejected host " + host.id + ": " + reason);
+    actions.log(LogLevel.WARN, "ejected host " + host.id + ": " + reason);
     host.health.eject(status, now);
     healthChecks.hostEjected(host, now);
     host.group().clearPrimary(host);
@@ -83,8 +120,7 @@
   private double missingAnswers(HostState host, long now) {
     return host.inFlight.stream()
         .filter(attempt -> !attempt.isPresumedLost())
-        .mapToDouble(
-            attempt -> attempt.silenceNanos(now) / context.serviceTimes().expected(attempt.pending))
+        .mapToDouble(attempt -> attempt.silenceNanos(now) / serviceTimes.expected(attempt.pending))
         .sum();
   }
 }
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -5,13 +5,10 @@
 import rushwood.api.HostRole;
 import rushwood.api.LoadReport;
 import rushwood.api.LogLevel;
+import rushwood.api.PolicyActions;
 
 /** Decides which member of a group counts as its primary, and where a write goes. */
-record PrimaryTracker(
-    PolicyContext context,
-    OutlierDetector outliers,
-    ConcurrencyLimiter limiter,
-    HealthCheckPolicy healthChecks) {
+final class PrimaryTracker {
   /** How long evidence of a role counts while no primary is known. */
   private static final long ROLE_TTL_NANOS = 3 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
@@ -20,6 +17,25 @@
 
   private static final int DISCOVERY_DIVISOR = 2; // half of all attempts may look for the primary
 
+  private final PolicyActions actions;
+  private final int maxDiscoveryAttempts;
+  private final OutlierDetector outliers;
+  private final ConcurrencyLimiter limiter;
+  private final HealthCheckPolicy healthChecks;
+
+  PrimaryTracker(
+      PolicyActions actions,
+      int maxAttempts,
+      OutlierDetector outliers,
+      ConcurrencyLimiter limiter,
+      HealthCheckPolicy healthChecks) {
+    this.actions = actions;
+    maxDiscoveryAttempts = maxAttempts / DISCOVERY_DIVISOR;
+    this.outliers = outliers;
+    this.limiter = limiter;
+    this.healthChecks = healthChecks;
+  }
+
   /** The endpoint list is seconds old: it only fills in where nothing better is known. */
   void endpointListed(HostState host) {
     boolean isUnknown = !host.group().hasPrimary() && !host.replication.isRoleKnown();
@@ -67,7 +83,7 @@
       group.clearPrimary(host);
     } else if (!group.isPrimary(host) && isLatest) {
       String change = "primary of group " + host.endpoint().group() + " is now host " + host.id;
-      context.actions().log(LogLevel.INFO, change);
+      actions.log(LogLevel.INFO, change);
       group.setPrimary(host);
     }
   }
@@ -81,9 +97,8 @@
     if (group.hasPrimary() && outliers.isUsable(group.primary(), now)) {
       return limiter.hasFreeSlot(pending, group.primary(), now) ? group.primary() : null;
     }
-    int maxAttempts = context.settings().maxAttempts() / DISCOVERY_DIVISOR;
     if (group.isDiscoveringPrimary()
-        || pending.attemptCount() >= Math.min(group.members().size(), maxAttempts)) {
+        || pending.attemptCount() >= Math.min(group.members().size(), maxDiscoveryAttempts)) {
       return null;
     }
     for (HostState host : group.members()) {
--- a/router/src/main/java/rushwood/policy/QueuePolicy.java
+++ b/router/src/main/java/rushwood/policy/QueuePolicy.java
@@ -1,12 +1,9 @@
 package rushwood.policy;
 
+import rushwood.api.RoutingSettings;
+
 /** Decides which waiting request gets a host's free slot. */
-record QueuePolicy(
-    PolicyContext context,
-    FreshnessPolicy freshness,
-    PrimaryTracker primaries,
-    ReplicaSelector replicas,
-    ConcurrencyLimiter limiter) {
+final class QueuePolicy {
   /**
    * The share of its latency objective after which a waiting read goes to any replica that can
    * answer, or to the primary, whose slots may be idle. The cost: they are missing to new writes.
@@ -16,6 +13,28 @@
   private static final double IN_TIME_MULTIPLE = 3; // expected service times: 19 in 20 answers
   private static final long LATE_PRIORITY = Long.MAX_VALUE - 1; // behind all that are in time
 
+  private final boolean areSlotsShared;
+  private final ServiceTimes serviceTimes;
+  private final FreshnessPolicy freshness;
+  private final PrimaryTracker primaries;
+  private final ReplicaSelector replicas;
+  private final ConcurrencyLimiter limiter;
+
+  QueuePolicy(
+      RoutingSettings settings,
+      ServiceTimes serviceTimes,
+      FreshnessPolicy freshness,
+      PrimaryTracker primaries,
+      ReplicaSelector replicas,
+      ConcurrencyLimiter limiter) {
+    areSlotsShared = ConcurrencyLimiter.areSlotsShared(settings);
+    this.serviceTimes = serviceTimes;
+    this.freshness = freshness;
+    this.primaries = primaries;
+    this.replicas = replicas;
+    this.limiter = limiter;
+  }
+
   /** Returns the request of that queue that the host gets next, or null. */
   PendingRequest next(WaitQueue queue, HostState host, long now) {
     if (queue.isEmpty() || !limiter.canTakeAny(host, now)) {
@@ -26,7 +45,6 @@
 
   private boolean accepts(PendingRequest pending, HostState host, long now) {
     // Other routers may have better requests for a shared slot: slow hosts get no late ones.
-    boolean areSlotsShared = ConcurrencyLimiter.areSlotsShared(context);
     if (areSlotsShared && isLate(pending, now) && ConcurrencyLimiter.isSlow(host)) {
       return false;
     }
@@ -52,7 +70,7 @@
 
   /** Whether an answer within the latency objective has become unlikely. */
   private boolean isLate(PendingRequest pending, long now) {
-    double expected = context.serviceTimes().expected(pending);
+    double expected = serviceTimes.expected(pending);
     return now + expected * IN_TIME_MULTIPLE > pending.objectiveDeadline;
   }
 }
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -1,21 +1,42 @@
 package rushwood.policy;
 
 import java.util.List;
+import java.util.random.RandomGenerator;
 import rushwood.api.RequestClass.Consistency;
 import rushwood.api.RoutingSettings.LaggingReadBehavior;
 
 /** Chooses the host for a read: the better of two random replicas, else the best of the group. */
-record ReplicaSelector(
-    PolicyContext context,
-    FreshnessPolicy freshness,
-    OutlierDetector outliers,
-    ConcurrencyLimiter limiter,
-    HealthCheckPolicy healthChecks) {
+final class ReplicaSelector {
   private static final int CATCH_UP_DIVISOR = 2; // assumed: applies its log at twice real time
   private static final long MIN_CATCH_UP_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
   private static final long MAX_CATCH_UP_NANOS = 20 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
   private static final int LONG_READ_DIVISOR = 3; // one replica in this many takes long reads
 
+  private final RandomGenerator random;
+  private final boolean servesStale;
+  private final ServiceTimes serviceTimes;
+  private final FreshnessPolicy freshness;
+  private final OutlierDetector outliers;
+  private final ConcurrencyLimiter limiter;
+  private final HealthCheckPolicy healthChecks;
+
+  ReplicaSelector(
+      RandomGenerator random,
+      LaggingReadBehavior laggingReadBehavior,
+      ServiceTimes serviceTimes,
+      FreshnessPolicy freshness,
+      OutlierDetector outliers,
+      ConcurrencyLimiter limiter,
+      HealthCheckPolicy healthChecks) {
+    this.random = random;
+    servesStale = laggingReadBehavior == LaggingReadBehavior.SERVES;
+    this.serviceTimes = serviceTimes;
+    this.freshness = freshness;
+    this.outliers = outliers;
+    this.limiter = limiter;
+    this.healthChecks = healthChecks;
+  }
+
   /**
    * Returns the host for a read, or null if it has to wait. Two replicas drawn by weight decide if
    * both are (likely to be) fresh and free, by the power of two choices; else all are compared.
@@ -23,8 +44,8 @@
   HostState selectForRead(PendingRequest pending, long now) {
     List<HostState> replicas = pending.group.replicas();
     if (replicas.size() > 2 && !isLongRead(pending)) {
-      HostState first = GroupState.drawByWeight(replicas, context.random());
-      HostState second = GroupState.drawByWeight(replicas, context.random());
+      HostState first = GroupState.drawByWeight(replicas, random);
+      HostState second = GroupState.drawByWeight(replicas, random);
       if (suitability(pending, first, now).isAtLeast(Suitability.LIKELY_FRESH)
           && suitability(pending, second, now).isAtLeast(Suitability.LIKELY_FRESH)
           && limiter.hasFreeSlot(pending, first, now)
@@ -37,13 +58,13 @@
 
   private HostState selectOfAll(PendingRequest pending, long now) {
     Suitability best = bestSuitability(pending, now);
-    if (best != Suitability.FRESH && context.settings().hasLoadReports()) {
+    if (best != Suitability.FRESH) {
       healthChecks.checkHealthOfLeastRecentlyHeard(
-          pending.group, freshness.minStalenessBoundNanos, now);
+          pending.group, freshness.minStalenessBoundNanos(), now);
     }
     boolean isLong = isLongRead(pending);
     List<HostState> members = pending.group.members();
-    int start = isLong || members.isEmpty() ? 0 : context.random().nextInt(members.size());
+    int start = isLong || members.isEmpty() ? 0 : random.nextInt(members.size());
     HostState selected = null;
     for (int i = 0; i < members.size(); i++) {
       HostState host = members.get((start + i) % members.size());
@@ -103,7 +124,6 @@
     if (lagNanos <= 0) {
       return Suitability.FRESH;
     }
-    boolean servesStale = context.settings().laggingReadBehavior() == LaggingReadBehavior.SERVES;
     long catchUpNanos = Math.min(MAX_CATCH_UP_NANOS, lagNanos / CATCH_UP_DIVISOR);
     boolean refused =
         host.replication.readRefusedAt() > now - Math.max(MIN_CATCH_UP_NANOS, catchUpNanos);
@@ -117,7 +137,7 @@
   /** An eventually consistent read expected to take longer than other reads may be stale. */
   private boolean isLongRead(PendingRequest pending) {
     return pending.requires(Consistency.EVENTUAL)
-        && context.serviceTimes().expected(pending) > freshness.minStalenessBoundNanos;
+        && serviceTimes.expected(pending) > freshness.minStalenessBoundNanos();
   }
 
   /**
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -2,6 +2,7 @@
 
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
+import rushwood.api.OverloadSignals;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
 import rushwood.api.RequestId;
@@ -11,22 +12,23 @@
  * their results, in the order that the components need. What happens at each step they decide.
  */
 final class RequestLifecycle {
-  private final PolicyContext context;
-  private final PolicyComponents components;
   private final PolicyActions actions;
+  private final OverloadSignals overloadSignals;
+  private final PolicyComponents components;
   private final PendingRequests requests;
   private final DeadlineQueue deadlineQueue;
 
-  RequestLifecycle(PolicyContext context, PolicyComponents components) {
-    this.context = context;
+  RequestLifecycle(
+      PolicyActions actions, OverloadSignals overloadSignals, PolicyComponents components) {
+    this.actions = actions;
+    this.overloadSignals = overloadSignals;
     this.components = components;
-    actions = context.actions();
-    requests = context.requests();
-    deadlineQueue = context.deadlineQueue();
+    requests = components.requests;
+    deadlineQueue = components.deadlineQueue;
   }
 
   void requestReceived(Request request, long now) {
-    GroupState group = context.hosts().group(request.group());
+    GroupState group = components.hosts.group(request.group());
     PendingRequest pending = requests.add(request, group, now);
     components.healthChecks.requestReceived();
     addDeadline(pending);
@@ -56,20 +58,20 @@
   }
 
   private boolean isExpired(PendingRequest pending, long now) {
-    return now >= components.deadlines.answerDeadline(pending);
+    return components.deadlines.isExpired(pending, now);
   }
 
   private void send(PendingRequest pending, HostState host, long now) {
     pending.dequeue();
     components.healthChecks.attemptSent(host, now);
     boolean isCostlyRetry = pending.isRetryCostly();
-    context.overloadSignals().attemptSent(now, pending.request.group(), isCostlyRetry);
+    overloadSignals.attemptSent(now, pending.request.group(), isCostlyRetry);
     long timeoutNanos = components.deadlines.attemptTimeoutNanos(pending, now);
     long startWithinNanos = Math.min(timeoutNanos, RetryPolicy.retryDeadline(pending) - now);
     boolean isControl = components.lostAnswers.drawControlSample();
     Attempt attempt = pending.startAttempt(host, now, isControl);
     host.inFlight.add(attempt);
-    host.slowStart.tokens.take(context.serviceTimes().expected(pending));
+    components.slowStart.attemptSent(attempt);
     actions.send(pending.request.id(), host.id, timeoutNanos, startWithinNanos);
   }
 
@@ -104,8 +106,8 @@
     Attempt attempt = requests.attempt(result);
     PendingRequest pending = attempt.pending;
     if (result.outcome() == AttemptOutcome.SUCCESS) {
-      context.serviceTimes().record(pending, result.durationNanos());
-      attempt.host.slowStart.recordCompletedWork(context.serviceTimes().expected(pending));
+      components.serviceTimes.record(pending, result.durationNanos());
+      components.slowStart.answerReceived(attempt);
       components.lostAnswers.answerReceived(attempt, now);
     }
     components.limiter.attemptFinished(attempt, result, now);
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -1,18 +1,26 @@
 package rushwood.policy;
 
 import rushwood.api.AttemptOutcome;
+import rushwood.api.OverloadSignals;
 
 /** Decides whether a request may be sent (again), to which hosts, and until when. */
-record RetryPolicy(PolicyContext context) {
+final class RetryPolicy {
   private static final int MAX_ERRORS = 2; // from two hosts: the request itself may be at fault
   private static final double WINDOW_SHARE = 0.9; // of a key's window; the rest is for the network
 
+  private final int maxAttempts;
+  private final OverloadSignals overloadSignals;
+
+  RetryPolicy(int maxAttempts, OverloadSignals overloadSignals) {
+    this.maxAttempts = maxAttempts;
+    this.overloadSignals = overloadSignals;
+  }
+
   /** Whether another attempt may be made now: within the limits, the retry budget and safety. */
   boolean canAttempt(PendingRequest pending, long now) {
-    return pending.attemptCount() < context.settings().maxAttempts()
+    return pending.attemptCount() < maxAttempts
         && pending.errorCount() < MAX_ERRORS
-        && (!pending.isRetryCostly()
-            || context.overloadSignals().canRetry(now, pending.request.group()))
+        && (!pending.isRetryCostly() || overloadSignals.canRetry(now, pending.request.group()))
         && isSafe(pending, now);
   }
 
@@ -44,10 +52,15 @@
     return pending.firstPossiblyExecuted().sentAt + (long) (windowNanos * WINDOW_SHARE);
   }
 
+  /** Whether a request can be sent again after a cancelled attempt, which may have run. */
+  static boolean canRetryAfterCancel(PendingRequest pending) {
+    return pending.isIdempotent() || pending.hasIdempotencyKey();
+  }
+
   /** The Retry-After of a rejected request: while others wait, a quick repeat does not help. */
   long retryAfter(PendingRequest pending, long now) {
     boolean othersWaiting = !pending.group.firstAttempts.isEmpty();
-    return context.overloadSignals().retryAfterNanos(now, pending.request, othersWaiting);
+    return overloadSignals.retryAfterNanos(now, pending.request, othersWaiting);
   }
 
   /** Records how an attempt ended: the request avoids hosts that were behind or at fault. */
--- a/router/src/main/java/rushwood/policy/ServiceTimes.java
+++ b/router/src/main/java/rushwood/policy/ServiceTimes.java
@@ -3,22 +3,25 @@
 import java.util.List;
 import rushwood.api.RequestClass;
 
-/** The expected service time of each request class: a moving average over successful attempts. */
+/**
+ * Estimates the service time of each request class, in nanoseconds: a moving average over the
+ * durations of successful attempts.
+ */
 final class ServiceTimes {
+  /** The first estimate of a class, as a share of its latency objective. */
+  private static final double INITIAL_SHARE = 0.25;
+
+  /** The weight of one attempt: about the last fifty count. */
+  private static final double SMOOTHING = 0.02;
+
   private final ExponentialAverage[] averages;
-  private final double smoothing;
 
-  /**
-   * Creates the estimates.
-   *
-   * @param initialShare the first estimate, as a share of the class's latency objective
-   * @param smoothing the weight of one measurement
-   */
-  ServiceTimes(List<RequestClass> requestClasses, double initialShare, double smoothing) {
-    this.smoothing = smoothing;
+  ServiceTimes(List<RequestClass> requestClasses) {
     averages =
         requestClasses.stream()
-            .map(each -> new ExponentialAverage(each.latencyObjectiveNanos() * initialShare))
+            .map(
+                requestClass ->
+                    new ExponentialAverage(requestClass.latencyObjectiveNanos() * INITIAL_SHARE))
             .toArray(ExponentialAverage[]::new);
   }
 
@@ -27,7 +30,8 @@
     return averages[pending.requestClass.index()].value();
   }
 
+  /** Takes in the duration of a successful attempt. */
   void record(PendingRequest pending, long durationNanos) {
-    averages[pending.requestClass.index()].add(durationNanos, smoothing);
+    averages[pending.requestClass.index()].add(durationNanos, SMOOTHING);
   }
 }
--- a/router/src/main/java/rushwood/policy/SlowStart.java
+++ b/router/src/main/java/rushwood/policy/SlowStart.java
@@ -1,20 +1,50 @@
 package rushwood.policy;
 
+import java.util.random.RandomGenerator;
+import rushwood.api.RoutingSettings;
+
 /**
  * Limits what a host gets after its process has started to a share, growing with its age, of slots
  * and of the work that warm hosts complete. So all routers together stay well below the load at
- * which a cold host collapses, without exchanging messages.
+ * which a cold host collapses, without exchanging messages. Work is expected service time in
+ * nanoseconds.
  */
-record SlowStart(PolicyContext context) {
-  private static final double MULTIPLE_SHARE = 0.5; // of the collapse multiple; rest is margin
-  private static final double SHARED_SLOTS_SHARE = 0.35; // a larger margin, for many routers
-  private static final double BURST_SHARE = 0.25; // of a window; more would allow an early burst
-  private static final double WORK_RATE_SMOOTHING = 0.05; // about the last two seconds count
+final class SlowStart {
+  /** The share of the collapse multiple that a cold host gets; the rest is margin. */
+  private static final double MULTIPLE_SHARE = 0.5;
+
+  /** The same where several routers share a slot: a larger margin, for many routers. */
+  private static final double SHARED_SLOTS_SHARE = 0.35;
+
+  /** How much of the work of a collapse window may come at once; more would be an early burst. */
+  private static final double BURST_SHARE = 0.25;
+
+  /** The weight of a check interval in the rate of work: about the last two seconds count. */
+  private static final double WORK_RATE_SMOOTHING = 0.05;
+
+  private final RoutingSettings settings;
+  private final RandomGenerator random;
+  private final ServiceTimes serviceTimes;
+  private final HostTable hosts;
+  private final double multipleShare;
+
+  SlowStart(
+      RoutingSettings settings,
+      RandomGenerator random,
+      ServiceTimes serviceTimes,
+      HostTable hosts) {
+    this.settings = settings;
+    this.random = random;
+    this.serviceTimes = serviceTimes;
+    this.hosts = hosts;
+    boolean areSlotsShared = ConcurrencyLimiter.areSlotsShared(settings);
+    multipleShare = areSlotsShared ? SHARED_SLOTS_SHARE : MULTIPLE_SHARE;
+  }
 
   /** The share of its capacity that a host has at the least, by its age: 1 once it is warm. */
   private double progress(HostState host, long now) {
-    double age = (double) host.slowStart.ageNanos(now) / context.settings().warmupNanos();
-    double initial = context.settings().coldStartShare();
+    double age = (double) host.slowStart.ageNanos(now) / settings.warmupNanos();
+    double initial = settings.coldStartShare();
     return age >= 1 ? 1 : initial + (1 - initial) * Math.max(0, age);
   }
 
@@ -22,26 +52,27 @@
     return progress(host, now) == 1;
   }
 
-  /** The share of a warm host's work that this host may get. */
+  /** The share of a warm host's slots and work that this host may get, at most 1. */
   double share(HostState host, long now) {
-    boolean areSlotsShared = ConcurrencyLimiter.areSlotsShared(context);
-    double multipleShare = areSlotsShared ? SHARED_SLOTS_SHARE : MULTIPLE_SHARE;
-    double multiple = context.settings().collapseMultiple();
-    return Math.min(1, progress(host, now) * multiple * multipleShare);
+    return Math.min(1, progress(host, now) * settings.collapseMultiple() * multipleShare);
   }
 
-  /** Whether a host that is not warm may get that request, for its expected service time. */
+  /**
+   * Whether the host may get that request, for its expected service time: a warm host always, a
+   * cold one within its budget. The budget grows by the host's share of the work that warm hosts
+   * complete, up to a quarter of a collapse window. Each router starts it at another level, so that
+   * their first attempts come at other times.
+   */
   boolean hasTokens(PendingRequest pending, HostState host, long now) {
     if (isWarm(host, now)) {
       return true;
     }
     double rate = share(host, now) * warmRate(host, now);
-    double expected = context.serviceTimes().expected(pending);
-    double window = context.settings().collapseWindowNanos();
+    double expected = serviceTimes.expected(pending);
+    double window = settings.collapseWindowNanos();
     double capacity = Math.max(expected, rate * window * BURST_SHARE);
     if (host.slowStart.hasTokensOfEarlierProcess()) {
-      // Each router starts at another level, so that their first attempts come at other times.
-      host.slowStart.tokens.reset(context.random().nextDouble() * capacity, now);
+      host.slowStart.tokens.reset(random.nextDouble() * capacity, now);
     }
     host.slowStart.tokens.refill(rate, capacity, now);
     return host.slowStart.tokens.has(expected);
@@ -51,7 +82,7 @@
   private double warmRate(HostState host, long now) {
     double rate = 0;
     double weight = 0;
-    for (HostState other : context.hosts().hosts()) {
+    for (HostState other : hosts.hosts()) {
       if (other.hasGroup() && other.health.isHealthy() && isWarm(other, now)) {
         rate += other.slowStart.completedWorkRate();
         weight += other.endpoint().weight();
@@ -60,6 +91,16 @@
     return weight > 0 ? host.endpoint().weight() * rate / weight : host.concurrency.limit();
   }
 
+  /** Charges an attempt to its host's budget. */
+  void attemptSent(Attempt attempt) {
+    attempt.host.slowStart.tokens.take(serviceTimes.expected(attempt.pending));
+  }
+
+  /** Counts a successful attempt as work that its host has completed. */
+  void answerReceived(Attempt attempt) {
+    attempt.host.slowStart.recordCompletedWork(serviceTimes.expected(attempt.pending));
+  }
+
   /** Updates the host's rate of completed work; called once a check interval. */
   static void updateWorkRate(HostState host) {
     host.slowStart.updateWorkRate(DefaultRoutingPolicy.CHECK_INTERVAL_NANOS, WORK_RATE_SMOOTHING);
--- a/router/src/main/java/rushwood/policy/package-info.java
+++ b/router/src/main/java/rushwood/policy/package-info.java
@@ -7,12 +7,11 @@
  * every tuned value: retries, deadlines, freshness, the primary, replica selection, concurrency
  * limits, slow start, outliers, lost answers, health checks and the order of the wait queue. All
  * other classes carry requests along ({@code RequestLifecycle}), wire the parts together ({@code
- * PolicyComponents}, {@code PolicyContext}), hold state ({@code HostTable}, {@code HostState},
- * {@code HostHealth}, {@code ConcurrencyState}, {@code ReplicationState}, {@code SlowStartState},
- * {@code GroupState}, {@code PendingRequests}, {@code PendingRequest}, {@code Attempt}, {@code
- * InFlightAttempts}, {@code SessionWrites}) or are mechanisms without a value of their own ({@code
- * WaitQueue}, {@code DeadlineQueue}, {@code EndpointSubscription}, {@code ServiceTimes}, {@code
- * TokenBucket}, {@code ExponentialAverage}).
+ * PolicyComponents}), hold state ({@code HostTable}, {@code HostState}, {@code HostHealth}, {@code
+ * ConcurrencyState}, {@code ReplicationState}, {@code SlowStartState}, {@code GroupState}, {@code
+ * PendingRequests}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts}, {@code
+ * SessionWrites}) or are mechanisms without a value of their own ({@code WaitQueue}, {@code
+ * DeadlineQueue}, {@code TokenBucket}, {@code ExponentialAverage}).
  *
  * <p>Nothing here is synchronized: one thread calls a policy. Times are nanoseconds of the caller's
  * clock.
