--- /dev/null
+++ b/router/src/main/java/rushwood/policy/AttemptSender.java
@@ -0,0 +1,42 @@
+package rushwood.policy;
+
+import rushwood.api.OverloadSignals;
+import rushwood.api.PolicyActions;
+
+/** Sends a request to the host that was chosen, and tells the components that need to know. */
+final class AttemptSender {
+  private final PolicyActions actions;
+  private final OverloadSignals overloadSignals;
+  private final DeadlinePolicy deadlines;
+  private final HealthCheckPolicy healthChecks;
+  private final SlowStart slowStart;
+  private final LostAnswerDetector lostAnswers;
+
+  AttemptSender(
+      PolicyActions actions,
+      OverloadSignals overloadSignals,
+      DeadlinePolicy deadlines,
+      HealthCheckPolicy healthChecks,
+      SlowStart slowStart,
+      LostAnswerDetector lostAnswers) {
+    this.actions = actions;
+    this.overloadSignals = overloadSignals;
+    this.deadlines = deadlines;
+    this.healthChecks = healthChecks;
+    this.slowStart = slowStart;
+    this.lostAnswers = lostAnswers;
+  }
+
+  /** Takes the request out of its queue, if it waits, and starts an attempt at that host. */
+  void send(PendingRequest pending, HostState host, long now) {
+    pending.dequeue();
+    healthChecks.attemptSent(host, now);
+    overloadSignals.attemptSent(now, pending.request.group(), RetryPolicy.isCostly(pending));
+    long timeoutNanos = deadlines.attemptTimeoutNanos(pending, now);
+    long startWithinNanos = Math.min(timeoutNanos, RetryPolicy.retryDeadline(pending) - now);
+    Attempt attempt = pending.startAttempt(host, now, lostAnswers.drawControlSample());
+    host.inFlight.add(attempt);
+    slowStart.attemptSent(attempt);
+    actions.send(pending.request.id(), host.id, timeoutNanos, startWithinNanos);
+  }
+}
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -25,13 +25,17 @@
   /** Between two checks of all hosts and wait queues. */
   static final long CHECK_INTERVAL_NANOS = 100_000_000L;
 
-  private final boolean isRemovalBinding;
   private final long clockResolutionNanos;
   private final HostTable hosts;
   private final DeadlineQueue deadlineQueue;
-  private final PolicyComponents components;
-  private final RequestLifecycle requests;
+  private final EndpointPolicy endpointPolicy;
   private final EndpointSubscription subscription;
+  private final HealthCheckPolicy healthChecks;
+  private final LostAnswerDetector lostAnswers;
+  private final OutlierDetector outliers;
+  private final PrimaryTracker primaries;
+  private final WaitQueueDispatcher dispatcher;
+  private final RequestLifecycle lifecycle;
   private long nextCheckAt;
 
   /** Creates a policy without overload control. */
@@ -46,20 +50,23 @@
       RandomGenerator random,
       PolicyActions actions,
       OverloadSignals overloadSignals) {
-    isRemovalBinding = settings.isRemovalBinding();
     clockResolutionNanos = settings.clockResolutionNanos();
-    components = new PolicyComponents(settings, random, actions, overloadSignals);
+    PolicyComponents components = new PolicyComponents(settings, random, actions, overloadSignals);
     hosts = components.hosts;
     deadlineQueue = components.deadlineQueue;
+    endpointPolicy = components.endpointPolicy;
     subscription = components.subscription;
-    requests = new RequestLifecycle(actions, overloadSignals, components);
+    healthChecks = components.healthChecks;
+    lostAnswers = components.lostAnswers;
+    outliers = components.outliers;
+    primaries = components.primaries;
+    dispatcher = components.dispatcher;
+    lifecycle = components.lifecycle;
   }
 
   @Override
   public void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache) {
-    if (isRemovalBinding) {
-      hosts.removeUnlisted(endpoints);
-    }
+    endpointPolicy.listReplaced(endpoints);
     endpointsUpdated(now, endpoints);
     if (fromCache) {
       nextCheckAt = now;
@@ -71,26 +78,8 @@
   @Override
   public void endpointsUpdated(long now, List<Endpoint> changes) {
     subscription.updateReceived();
-    changes.forEach(this::update);
-    hosts.groups().forEach(group -> requests.dispatchWaiting(group, now));
-  }
-
-  /** A draining or removed host gets no new attempts from now on, even in its grace period. */
-  private void update(Endpoint endpoint) {
-    HostState host = hosts.getOrAdd(endpoint, components.limiter.initialLimit());
-    if (endpoint.state() == Endpoint.State.REMOVED && !isRemovalBinding) {
-      return; // Such a list does not prove which hosts are up: their health decides.
-    }
-    host.listed(endpoint);
-    if (endpoint.state() != Endpoint.State.READY) {
-      host.leaveGroup();
-      return;
-    }
-    hosts.group(endpoint.group()).add(host);
-    if (endpoint.startedAt() > host.slowStart.startedAt()) {
-      host.processRestarted(endpoint.startedAt());
-    }
-    components.primaries.endpointListed(host);
+    changes.forEach(endpointPolicy::endpointListed);
+    hosts.groups().forEach(group -> dispatcher.dispatch(group, now));
   }
 
   @Override
@@ -100,38 +89,49 @@
 
   @Override
   public void requestReceived(long now, Request request) {
-    requests.requestReceived(request, now);
+    healthChecks.requestReceived();
+    lifecycle.requestReceived(request, hosts.group(request.group()), now);
   }
 
+  /**
+   * {@inheritDoc}
+   *
+   * @throws IllegalArgumentException if this router has no such attempt
+   */
   @Override
   public void attemptFinished(long now, AttemptResult result) {
-    requests.attemptFinished(result, now);
+    lifecycle.attemptFinished(result, now);
   }
 
   @Override
   public void clientDisconnected(long now, RequestId request) {
-    requests.clientDisconnected(request);
+    lifecycle.clientDisconnected(request);
   }
 
   @Override
   public void shuttingDown(long now, long deadline) {
-    requests.shuttingDown(deadline);
+    lifecycle.shuttingDown(deadline);
   }
 
+  /**
+   * {@inheritDoc} No answer proves nothing: hosts turn health checks away when many routers ask.
+   *
+   * @throws IllegalArgumentException if this router knows no such host
+   */
   @Override
   public void healthCheckFinished(long now, HostId id, boolean answered, LoadReport report) {
     HostState host = hosts.host(id);
-    components.healthChecks.healthCheckFinished(host);
-    if (answered) { // No answer proves nothing: hosts turn checks away when many routers ask.
-      components.outliers.healthCheckAnswered(host, now);
+    healthChecks.healthCheckFinished(host);
+    if (answered) {
+      outliers.healthCheckAnswered(host, now);
     }
-    components.primaries.reportReceived(host, report, now);
-    requests.dispatchWaiting(host, now);
+    primaries.reportReceived(host, report, now);
+    dispatcher.dispatch(host, now);
   }
 
   @Override
   public void timerFired(long now) {
-    requests.endExpired(now);
+    lifecycle.endExpired(now);
     if (now >= nextCheckAt) {
       nextCheckAt = now + CHECK_INTERVAL_NANOS;
       hosts.groups().forEach(group -> check(group, now));
@@ -141,21 +141,24 @@
     deadlineQueue.rearm(Math.min(nextCheckAt, subscription.retryAt()));
   }
 
-  /** Checks the hosts of a group, then what waits for them. */
+  /**
+   * Checks the hosts of a group, then what waits for them: reads may go to hosts again that they
+   * have avoided, and while no primary is known writes may look for it.
+   */
   private void check(GroupState group, long now) {
     for (HostState host : group.members()) {
       SlowStart.updateWorkRate(host);
-      components.lostAnswers.check(host, now);
-      components.outliers.check(host, now);
-      components.primaries.checkHealthIfPrimaryUnknown(host);
+      lostAnswers.check(host, now);
+      outliers.check(host, now);
+      primaries.checkHealthIfPrimaryUnknown(host);
     }
     for (PendingRequest pending : group.waitingRequests()) {
       if (!pending.isWrite()) {
         pending.forgetAvoidedHosts();
       } else if (!group.hasPrimary()) {
-        requests.process(pending, now);
+        lifecycle.process(pending, now);
       }
     }
-    requests.dispatchWaiting(group, now);
+    dispatcher.dispatch(group, now);
   }
 }
--- a/router/src/main/java/rushwood/policy/GroupState.java
+++ b/router/src/main/java/rushwood/policy/GroupState.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import org.jspecify.annotations.Nullable;
 
@@ -107,19 +106,4 @@
   List<PendingRequest> waitingRequests() {
     return Stream.concat(firstAttempts.requests().stream(), retries.requests().stream()).toList();
   }
-
-  /** Draws a host with a probability in proportion to its weight, and removes it from the list. */
-  static HostState drawByWeight(List<HostState> candidates, RandomGenerator random) {
-    double point = 0;
-    for (HostState host : candidates) {
-      point += host.endpoint().weight();
-    }
-    point *= random.nextDouble();
-    int index = 0;
-    while (index < candidates.size() - 1 && point >= candidates.get(index).endpoint().weight()) {
-      point -= candidates.get(index).endpoint().weight();
-      index++;
-    }
-    return candidates.remove(index);
-  }
 }
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -112,14 +112,6 @@
     return null;
   }
 
-  /** Whether the last attempt took work or a queue slot from its host, as a retry would again. */
-  boolean isRetryCostly() {
-    return hasAttempts()
-        && !lastAttempt().endedAs(AttemptOutcome.NOT_SENT)
-        && !lastAttempt().endedAs(AttemptOutcome.CONNECT_FAILED)
-        && !lastAttempt().endedAs(AttemptOutcome.REPLICA_LAGGING);
-  }
-
   /** The number of attempts that were answered with an error. */
   long errorCount() {
     return attempts.stream().filter(attempt -> attempt.endedAs(AttemptOutcome.ERROR)).count();
--- a/router/src/main/java/rushwood/policy/PolicyComponents.java
+++ b/router/src/main/java/rushwood/policy/PolicyComponents.java
@@ -8,51 +8,60 @@
 /** Creates the components of one router's policy and wires them together. */
 final class PolicyComponents {
   final HostTable hosts = new HostTable();
-  final PendingRequests requests;
   final DeadlineQueue deadlineQueue;
+  final EndpointPolicy endpointPolicy;
   final EndpointSubscription subscription;
-  final ServiceTimes serviceTimes;
-  final DeadlinePolicy deadlines;
-  final RetryPolicy retries;
-  final FreshnessPolicy freshness;
   final HealthCheckPolicy healthChecks;
-  final SlowStart slowStart;
   final LostAnswerDetector lostAnswers;
   final OutlierDetector outliers;
-  final ConcurrencyLimiter limiter;
   final PrimaryTracker primaries;
-  final ReplicaSelector replicas;
-  final QueuePolicy queue;
+  final WaitQueueDispatcher dispatcher;
+  final RequestLifecycle lifecycle;
 
   PolicyComponents(
       RoutingSettings settings,
       RandomGenerator random,
       PolicyActions actions,
       OverloadSignals overloadSignals) {
-    requests = new PendingRequests(actions, settings.canCancel());
     deadlineQueue = new DeadlineQueue(actions);
     subscription = new EndpointSubscription(settings, random, actions, deadlineQueue);
-    serviceTimes = new ServiceTimes(settings.requestClasses());
-    deadlines = new DeadlinePolicy(settings.clockResolutionNanos());
-    retries = new RetryPolicy(settings.maxAttempts(), overloadSignals);
-    freshness = new FreshnessPolicy(settings);
+    PendingRequests requests = new PendingRequests(actions, settings.canCancel());
+    ServiceTimes serviceTimes = new ServiceTimes(settings.requestClasses());
+
+    DeadlinePolicy deadlines = new DeadlinePolicy(settings.clockResolutionNanos());
+    RetryPolicy retries = new RetryPolicy(settings.maxAttempts(), overloadSignals);
+    FreshnessPolicy freshness = new FreshnessPolicy(settings);
     healthChecks = new HealthCheckPolicy(settings, random, actions);
-    slowStart = new SlowStart(settings, random, serviceTimes, hosts);
+    SlowStart slowStart = new SlowStart(settings, random, serviceTimes, hosts);
     lostAnswers = new LostAnswerDetector(random, serviceTimes, requests);
     outliers =
         new OutlierDetector(actions, overloadSignals, serviceTimes, healthChecks, lostAnswers);
-    limiter = new ConcurrencyLimiter(settings, serviceTimes, slowStart, healthChecks);
-    primaries =
-        new PrimaryTracker(actions, settings.maxAttempts(), outliers, limiter, healthChecks);
-    replicas =
-        new ReplicaSelector(
-            random,
-            settings.laggingReadBehavior(),
-            serviceTimes,
-            freshness,
-            outliers,
-            limiter,
-            healthChecks);
-    queue = new QueuePolicy(settings, serviceTimes, freshness, primaries, replicas, limiter);
+    ConcurrencyLimiter limiter =
+        new ConcurrencyLimiter(settings, serviceTimes, slowStart, healthChecks);
+    primaries = new PrimaryTracker(actions, healthChecks);
+    endpointPolicy = new EndpointPolicy(settings.isRemovalBinding(), hosts, limiter, primaries);
+
+    WriteSelector writes = new WriteSelector(settings.maxAttempts(), outliers, limiter);
+    LongReadPolicy longReads = new LongReadPolicy(serviceTimes, freshness, outliers);
+    SuitabilityPolicy suitability = new SuitabilityPolicy(settings, outliers, longReads);
+    ReplicaSelector replicas =
+        new ReplicaSelector(random, freshness, suitability, longReads, limiter, healthChecks);
+    QueuePolicy queuePolicy =
+        new QueuePolicy(settings, serviceTimes, freshness, writes, replicas, limiter);
+
+    AttemptSender sender =
+        new AttemptSender(
+            actions, overloadSignals, deadlines, healthChecks, slowStart, lostAnswers);
+    dispatcher = new WaitQueueDispatcher(queuePolicy, sender);
+    lifecycle =
+        new RequestLifecycle(
+            requests,
+            new RequestExpiry(deadlineQueue, deadlines),
+            new RequestDecider(deadlines, retries, freshness, writes, replicas),
+            sender,
+            new AttemptResultRecorder(
+                serviceTimes, slowStart, lostAnswers, limiter, outliers, freshness, primaries),
+            dispatcher,
+            new FinalAnswers(actions, requests, retries));
   }
 }
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -7,32 +7,22 @@
 import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 
-/** Decides which member of a group counts as its primary, and where a write goes. */
+/**
+ * Decides which member of a group counts as its primary. The latest evidence of a host's role
+ * decides: what it claims with an answer or in a report, or that it refuses a write.
+ */
 final class PrimaryTracker {
-  /** How long evidence of a role counts while no primary is known. */
-  private static final long ROLE_TTL_NANOS = 3 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
-
-  /** A host that refused a write is handing over; it is not taken for the primary for this long. */
+  /**
+   * A host that refused a write is handing over: for this long it does not become the primary,
+   * whatever it claims.
+   */
   private static final long HANDOVER_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
-  private static final int DISCOVERY_DIVISOR = 2; // half of all attempts may look for the primary
-
   private final PolicyActions actions;
-  private final int maxDiscoveryAttempts;
-  private final OutlierDetector outliers;
-  private final ConcurrencyLimiter limiter;
   private final HealthCheckPolicy healthChecks;
 
-  PrimaryTracker(
-      PolicyActions actions,
-      int maxAttempts,
-      OutlierDetector outliers,
-      ConcurrencyLimiter limiter,
-      HealthCheckPolicy healthChecks) {
+  PrimaryTracker(PolicyActions actions, HealthCheckPolicy healthChecks) {
     this.actions = actions;
-    maxDiscoveryAttempts = maxAttempts / DISCOVERY_DIVISOR;
-    this.outliers = outliers;
-    this.limiter = limiter;
     this.healthChecks = healthChecks;
   }
 
@@ -44,6 +34,7 @@
     }
   }
 
+  /** Takes in what a result says of its host's role; a refused write shows that it is a replica. */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
     roleObserved(host, result.role(), now);
@@ -68,57 +59,31 @@
     }
   }
 
-  /** The latest evidence wins; an unresponsive host is no primary until it has answered a read. */
   private void roleObserved(HostState host, HostRole role, long evidenceAt) {
-    boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt() + HANDOVER_NANOS;
-    boolean isDoubtful = isHandingOver || host.health.isUnresponsive();
-    if (!host.hasGroup() || !role.isKnown() || (role == HostRole.PRIMARY && isDoubtful)) {
+    boolean isRefutedPrimary = role == HostRole.PRIMARY && !canBePrimary(host, evidenceAt);
+    if (!host.hasGroup() || !role.isKnown() || isRefutedPrimary) {
       return;
     }
     host.replication.recordRoleEvidence(evidenceAt);
     GroupState group = host.group();
-    boolean isLatest =
-        !group.hasPrimary() || evidenceAt > group.primary().replication.roleKnownAt();
     if (role == HostRole.REPLICA) {
       group.clearPrimary(host);
-    } else if (!group.isPrimary(host) && isLatest) {
+    } else if (!group.isPrimary(host) && isLatest(group, evidenceAt)) {
       String change = "primary of group " + host.endpoint().group() + " is now host " + host.id;
       actions.log(LogLevel.INFO, change);
       group.setPrimary(host);
     }
   }
 
-  /**
-   * Returns the host for a write, or null if it has to wait: the primary if it has a free slot. If
-   * none is known, one write at a time goes to a member of unknown role, the first in order of id.
-   */
-  HostState selectForWrite(PendingRequest pending, long now) {
-    GroupState group = pending.group;
-    if (group.hasPrimary() && outliers.isUsable(group.primary(), now)) {
-      return limiter.hasFreeSlot(pending, group.primary(), now) ? group.primary() : null;
-    }
-    if (group.isDiscoveringPrimary()
-        || pending.attemptCount() >= Math.min(group.members().size(), maxDiscoveryAttempts)) {
-      return null;
-    }
-    for (HostState host : group.members()) {
-      boolean isUnknown =
-          !host.isPrimary() && host.replication.roleKnownAt() < now - ROLE_TTL_NANOS;
-      if (isUnknown && !pending.avoids(host) && isFree(pending, host, now)) {
-        group.startPrimaryDiscovery(pending);
-        return host;
-      }
-    }
-    return null;
-  }
-
-  /** Whether a waiting write may go to that host. */
-  boolean acceptsWrite(PendingRequest pending, HostState host, long now) {
-    return host.isPrimary() && isFree(pending, host, now);
+  /** An unresponsive host is no primary until it has answered a read, nor is one handing over. */
+  private static boolean canBePrimary(HostState host, long evidenceAt) {
+    boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt() + HANDOVER_NANOS;
+    return !isHandingOver && !host.health.isUnresponsive();
   }
 
-  private boolean isFree(PendingRequest pending, HostState host, long now) {
-    return outliers.isUsable(host, now) && limiter.hasFreeSlot(pending, host, now);
+  private static boolean isLatest(GroupState group, long evidenceAt) {
+    HostState primary = group.primary();
+    return primary == null || evidenceAt > primary.replication.roleKnownAt();
   }
 
   /** Asks a member for its role while requests wait and no primary is known. */
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -2,74 +2,102 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import rushwood.api.RequestClass.Consistency;
-import rushwood.api.RoutingSettings.LaggingReadBehavior;
+import org.jspecify.annotations.Nullable;
 
-/** Chooses the host for a read: the better of two random replicas, else the best of the group. */
+/**
+ * Chooses the host for a read. The first case that applies:
+ *
+ * <ol>
+ *   <li>of three or more replicas two are drawn by weight, and both are (likely to be) fresh and
+ *       free: the better of the two, by the power of two choices;
+ *   <li>members of the group are acceptable and free ({@link SuitabilityPolicy#isAcceptable}): the
+ *       best of them;
+ *   <li>otherwise the read waits.
+ * </ol>
+ *
+ * <p>Better is what suits the read better ({@link SuitabilityPolicy}) or, of equally suited hosts,
+ * what has fewer attempts in flight for its weight. A long read does not compare loads: it goes to
+ * the first acceptable and free member in order of id.
+ */
 final class ReplicaSelector {
-  private static final int CATCH_UP_DIVISOR = 2; // assumed: applies its log at twice real time
-  private static final long MIN_CATCH_UP_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
-  private static final long MAX_CATCH_UP_NANOS = 20 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
-  private static final int LONG_READ_DIVISOR = 3; // one replica in this many takes long reads
-
   private final RandomGenerator random;
-  private final boolean servesStale;
-  private final ServiceTimes serviceTimes;
   private final FreshnessPolicy freshness;
-  private final OutlierDetector outliers;
+  private final SuitabilityPolicy suitability;
+  private final LongReadPolicy longReads;
   private final ConcurrencyLimiter limiter;
   private final HealthCheckPolicy healthChecks;
 
   ReplicaSelector(
       RandomGenerator random,
-      LaggingReadBehavior laggingReadBehavior,
-      ServiceTimes serviceTimes,
       FreshnessPolicy freshness,
-      OutlierDetector outliers,
+      SuitabilityPolicy suitability,
+      LongReadPolicy longReads,
       ConcurrencyLimiter limiter,
       HealthCheckPolicy healthChecks) {
     this.random = random;
-    servesStale = laggingReadBehavior == LaggingReadBehavior.SERVES;
-    this.serviceTimes = serviceTimes;
     this.freshness = freshness;
-    this.outliers = outliers;
+    this.suitability = suitability;
+    this.longReads = longReads;
     this.limiter = limiter;
     this.healthChecks = healthChecks;
   }
 
-  /**
-   * Returns the host for a read, or null if it has to wait. Two replicas drawn by weight decide if
-   * both are (likely to be) fresh and free, by the power of two choices; else all are compared.
-   */
-  HostState selectForRead(PendingRequest pending, long now) {
+  /** The host for a read now, if it does not have to wait. */
+  @Nullable HostState select(PendingRequest pending, long now) {
+    HostState drawn = longReads.isLong(pending) ? null : selectOfTwo(pending, now);
+    return drawn != null ? drawn : selectOfAll(pending, now);
+  }
+
+  /** The better of two replicas drawn by weight, if both are (likely to be) fresh and free. */
+  private @Nullable HostState selectOfTwo(PendingRequest pending, long now) {
     List<HostState> replicas = pending.group.replicas();
-    if (replicas.size() > 2 && !isLongRead(pending)) {
-      HostState first = GroupState.drawByWeight(replicas, random);
-      HostState second = GroupState.drawByWeight(replicas, random);
-      if (suitability(pending, first, now).isAtLeast(Suitability.LIKELY_FRESH)
-          && suitability(pending, second, now).isAtLeast(Suitability.LIKELY_FRESH)
-          && limiter.hasFreeSlot(pending, first, now)
-          && limiter.hasFreeSlot(pending, second, now)) {
-        return isBetter(pending, second, first, now) ? second : first;
-      }
+    if (replicas.size() <= 2) {
+      return null;
+    }
+    HostState first = drawByWeight(replicas, random);
+    HostState second = drawByWeight(replicas, random);
+    if (!isLikelyFresh(pending, first, now)
+        || !isLikelyFresh(pending, second, now)
+        || !limiter.hasFreeSlot(pending, first, now)
+        || !limiter.hasFreeSlot(pending, second, now)) {
+      return null;
     }
-    return selectOfAll(pending, now);
+    return isBetter(pending, second, first, now) ? second : first;
   }
 
-  private HostState selectOfAll(PendingRequest pending, long now) {
-    Suitability best = bestSuitability(pending, now);
+  /** Draws a host with a probability in proportion to its weight, and removes it from the list. */
+  static HostState drawByWeight(List<HostState> candidates, RandomGenerator random) {
+    double point = 0;
+    for (HostState host : candidates) {
+      point += host.endpoint().weight();
+    }
+    point *= random.nextDouble();
+    int index = 0;
+    while (index < candidates.size() - 1 && point >= candidates.get(index).endpoint().weight()) {
+      point -= candidates.get(index).endpoint().weight();
+      index++;
+    }
+    return candidates.remove(index);
+  }
+
+  private boolean isLikelyFresh(PendingRequest pending, HostState host, long now) {
+    return suitability.rate(pending, host, now).isAtLeast(Suitability.LIKELY_FRESH);
+  }
+
+  /** The best acceptable and free member; of equal ones the first from a random place on. */
+  private @Nullable HostState selectOfAll(PendingRequest pending, long now) {
+    Suitability best = suitability.best(pending, now);
     if (best != Suitability.FRESH) {
       healthChecks.checkHealthOfLeastRecentlyHeard(
           pending.group, freshness.minStalenessBoundNanos(), now);
     }
-    boolean isLong = isLongRead(pending);
+    boolean isLong = longReads.isLong(pending);
     List<HostState> members = pending.group.members();
     int start = isLong || members.isEmpty() ? 0 : random.nextInt(members.size());
     HostState selected = null;
     for (int i = 0; i < members.size(); i++) {
       HostState host = members.get((start + i) % members.size());
-      if (isAcceptable(suitability(pending, host, now), best)
-          && limiter.hasFreeSlot(pending, host, now)
+      if (isAcceptableAndFree(pending, host, best, now)
           && (selected == null || (!isLong && isBetter(pending, host, selected, now)))) {
         selected = host;
       }
@@ -77,78 +105,25 @@
     return selected;
   }
 
-  /** Whether a waiting read may go to that host: to the best of the group, or to any fallback. */
-  boolean acceptsRead(PendingRequest pending, HostState host, boolean canFallBack, long now) {
-    Suitability best = canFallBack ? Suitability.PRIMARY_FALLBACK : bestSuitability(pending, now);
-    return isAcceptable(suitability(pending, host, now), best)
+  private boolean isAcceptableAndFree(
+      PendingRequest pending, HostState host, Suitability best, long now) {
+    return SuitabilityPolicy.isAcceptable(suitability.rate(pending, host, now), best)
         && limiter.hasFreeSlot(pending, host, now);
   }
 
-  private Suitability bestSuitability(PendingRequest pending, long now) {
-    Suitability best = Suitability.UNSUITABLE;
-    for (HostState host : pending.group.members()) {
-      best = best.orBetter(suitability(pending, host, now));
-    }
-    return best;
-  }
-
-  /** Whether a host is good enough, given the best of its group: reads wait only for fresh ones. */
-  private static boolean isAcceptable(Suitability suitability, Suitability best) {
-    return switch (best) {
-      case FRESH -> suitability.isAtLeast(Suitability.LIKELY_FRESH);
-      case LIKELY_FRESH, LAGGING -> suitability.isAtLeast(Suitability.LAGGING);
-      case PRIMARY_FALLBACK -> suitability.isAtLeast(Suitability.PRIMARY_FALLBACK);
-      case UNSUITABLE -> false;
-    };
-  }
-
-  /** Better suited, or equally suited with less load for its weight. */
   private boolean isBetter(PendingRequest pending, HostState host, HostState other, long now) {
-    int difference = suitability(pending, host, now).compareTo(suitability(pending, other, now));
+    int difference =
+        suitability.rate(pending, host, now).compareTo(suitability.rate(pending, other, now));
     return difference < 0 || (difference == 0 && host.load() < other.load());
   }
 
-  private Suitability suitability(PendingRequest pending, HostState host, long now) {
-    if (!outliers.isUsable(host, now) || pending.avoids(host)) {
-      return Suitability.UNSUITABLE;
-    }
-    boolean isLong = isLongRead(pending);
-    boolean needsPrimary = pending.requires(Consistency.STRONG);
-    if ((isLong && takesLongReads(host, now)) || (needsPrimary && host.isPrimary())) {
-      return Suitability.FRESH;
-    }
-    if (isLong || host.isPrimary()) {
-      return host.isPrimary() ? Suitability.PRIMARY_FALLBACK : Suitability.UNSUITABLE;
-    }
-    long lagNanos = pending.requiredPosition() - host.replication.position();
-    if (lagNanos <= 0) {
-      return Suitability.FRESH;
-    }
-    long catchUpNanos = Math.min(MAX_CATCH_UP_NANOS, lagNanos / CATCH_UP_DIVISOR);
-    boolean refused =
-        host.replication.readRefusedAt() > now - Math.max(MIN_CATCH_UP_NANOS, catchUpNanos);
-    if (servesStale || refused || needsPrimary) {
-      return Suitability.UNSUITABLE;
-    }
-    boolean isLikely = lagNanos <= now - host.replication.positionHeardAt();
-    return isLikely ? Suitability.LIKELY_FRESH : Suitability.LAGGING;
-  }
-
-  /** An eventually consistent read expected to take longer than other reads may be stale. */
-  private boolean isLongRead(PendingRequest pending) {
-    return pending.requires(Consistency.EVENTUAL)
-        && serviceTimes.expected(pending) > freshness.minStalenessBoundNanos();
-  }
-
   /**
-   * Long reads may keep a replica from applying its log. All routers send them to the same few, the
-   * first in order of id, so that the others stay fresh; after a wait they may go to the primary,
-   * which applies no log. The cost: those few replicas do little else.
+   * Whether a waiting read may go to that host.
+   *
+   * @param canFallBack whether any host that can answer is good enough by now, the primary too
    */
-  private boolean takesLongReads(HostState host, long now) {
-    List<HostState> usable =
-        host.group().replicas().stream().filter(each -> outliers.isUsable(each, now)).toList();
-    int count = Math.max(1, usable.size() / LONG_READ_DIVISOR);
-    return usable.stream().limit(count).anyMatch(each -> each == host);
+  boolean accepts(PendingRequest pending, HostState host, boolean canFallBack, long now) {
+    Suitability best = canFallBack ? Suitability.PRIMARY_FALLBACK : suitability.best(pending, now);
+    return isAcceptableAndFree(pending, host, best, now);
   }
 }
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -20,10 +20,24 @@
   boolean canAttempt(PendingRequest pending, long now) {
     return pending.attemptCount() < maxAttempts
         && pending.errorCount() < MAX_ERRORS
-        && (!pending.isRetryCostly() || overloadSignals.canRetry(now, pending.request.group()))
+        && (!isCostly(pending) || overloadSignals.canRetry(now, pending.request.group()))
         && isSafe(pending, now);
   }
 
+  /**
+   * Whether the last attempt took work or a place in its host's queue, as a retry would again. One
+   * that was not sent, found no connection, or was refused by a lagging replica did not.
+   */
+  static boolean isCostly(PendingRequest pending) {
+    if (!pending.hasAttempts()) {
+      return false;
+    }
+    Attempt last = pending.lastAttempt();
+    return !last.endedAs(AttemptOutcome.NOT_SENT)
+        && !last.endedAs(AttemptOutcome.CONNECT_FAILED)
+        && !last.endedAs(AttemptOutcome.REPLICA_LAGGING);
+  }
+
   /** Whether the client may repeat the request without harm: it ran nowhere, or may run twice. */
   static boolean isRepeatable(PendingRequest pending) {
     return pending.isIdempotent() || !pending.isPossiblyExecuted();
@@ -58,7 +72,7 @@
   }
 
   /** The Retry-After of a rejected request: while others wait, a quick repeat does not help. */
-  long retryAfter(PendingRequest pending, long now) {
+  long retryAfterNanos(PendingRequest pending, long now) {
     boolean othersWaiting = !pending.group.firstAttempts.isEmpty();
     return overloadSignals.retryAfterNanos(now, pending.request, othersWaiting);
   }
--- /dev/null
+++ b/router/src/main/java/rushwood/policy/WriteSelector.java
@@ -0,0 +1,74 @@
+package rushwood.policy;
+
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Chooses the host for a write. The first case that applies:
+ *
+ * <ol>
+ *   <li>the primary is known and usable: the write goes there, or waits until a slot is free;
+ *   <li>another write is looking for the primary, or this one has tried its part: it waits;
+ *   <li>a usable member of unknown role has a free slot: the write goes to the first such member in
+ *       order of id, to find out whether that is the primary;
+ *   <li>otherwise it waits.
+ * </ol>
+ */
+final class WriteSelector {
+  /** How long evidence of a role counts while no primary is known. */
+  private static final long ROLE_TTL_NANOS = 3 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
+
+  /**
+   * One attempt in this many may look for the primary; the others are left for the write itself.
+   */
+  private static final int DISCOVERY_DIVISOR = 2;
+
+  private final int maxDiscoveryAttempts;
+  private final OutlierDetector outliers;
+  private final ConcurrencyLimiter limiter;
+
+  WriteSelector(int maxAttempts, OutlierDetector outliers, ConcurrencyLimiter limiter) {
+    maxDiscoveryAttempts = maxAttempts / DISCOVERY_DIVISOR;
+    this.outliers = outliers;
+    this.limiter = limiter;
+  }
+
+  /** The host for a write now, if it does not have to wait. */
+  @Nullable HostState select(PendingRequest pending, long now) {
+    HostState primary = pending.group.primary();
+    if (primary != null && outliers.isUsable(primary, now)) {
+      boolean isFree = limiter.hasFreeSlot(pending, primary, now);
+      return isFree ? primary : null;
+    }
+    return canDiscoverPrimary(pending) ? discoverPrimary(pending, now) : null;
+  }
+
+  /** One write at a time looks for the primary: at each member once, with half of its attempts. */
+  private boolean canDiscoverPrimary(PendingRequest pending) {
+    GroupState group = pending.group;
+    return !group.isDiscoveringPrimary()
+        && pending.attemptCount() < Math.min(group.members().size(), maxDiscoveryAttempts);
+  }
+
+  private @Nullable HostState discoverPrimary(PendingRequest pending, long now) {
+    for (HostState host : pending.group.members()) {
+      if (isRoleUnknown(host, now) && !pending.avoids(host) && isFree(pending, host, now)) {
+        pending.group.startPrimaryDiscovery(pending);
+        return host;
+      }
+    }
+    return null;
+  }
+
+  private static boolean isRoleUnknown(HostState host, long now) {
+    return !host.isPrimary() && host.replication.roleKnownAt() < now - ROLE_TTL_NANOS;
+  }
+
+  /** Whether a waiting write may go to that host: to the known primary alone. */
+  boolean accepts(PendingRequest pending, HostState host, long now) {
+    return host.isPrimary() && isFree(pending, host, now);
+  }
+
+  private boolean isFree(PendingRequest pending, HostState host, long now) {
+    return outliers.isUsable(host, now) && limiter.hasFreeSlot(pending, host, now);
+  }
+}
--- a/router/src/main/java/rushwood/policy/package-info.java
+++ b/router/src/main/java/rushwood/policy/package-info.java
@@ -1,17 +1,23 @@
 /**
  * The routing policy: decides which host gets a request and when, whether it is retried, and
- * whether it is rejected. {@link rushwood.policy.DefaultRoutingPolicy} is the entry point; {@code
- * docs/design.md} has the reasons.
+ * whether it is rejected. {@link rushwood.policy.DefaultRoutingPolicy} is the entry point, {@code
+ * RequestDecider} the next place to look; {@code docs/design.md} has the reasons.
  *
  * <p>The files that {@code policy} names in {@code deploy/balancer.toml} hold every decision and
- * every tuned value: retries, deadlines, freshness, the primary, replica selection, concurrency
- * limits, slow start, outliers, lost answers, health checks and the order of the wait queue. All
- * other classes carry requests along ({@code RequestLifecycle}), wire the parts together ({@code
- * PolicyComponents}), hold state ({@code HostTable}, {@code HostState}, {@code HostHealth}, {@code
- * ConcurrencyState}, {@code ReplicationState}, {@code SlowStartState}, {@code GroupState}, {@code
- * PendingRequests}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts}, {@code
- * SessionWrites}) or are mechanisms without a value of their own ({@code WaitQueue}, {@code
- * DeadlineQueue}, {@code TokenBucket}, {@code ExponentialAverage}).
+ * every tuned value. The other types
+ *
+ * <ul>
+ *   <li>carry out what was decided: {@code RequestLifecycle}, {@code AttemptSender}, {@code
+ *       AttemptResultRecorder}, {@code WaitQueueDispatcher}, {@code RequestExpiry}, {@code
+ *       FinalAnswers};
+ *   <li>hold state: {@code HostTable}, {@code HostState}, {@code HostHealth}, {@code
+ *       ReplicationState}, {@code ConcurrencyState}, {@code SlowStartState}, {@code GroupState},
+ *       {@code PendingRequests}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts},
+ *       {@code SessionWrites};
+ *   <li>are mechanisms without a value of their own: {@code WaitQueue}, {@code DeadlineQueue},
+ *       {@code TokenBucket}, {@code ExponentialAverage};
+ *   <li>wire the parts together: {@code PolicyComponents}.
+ * </ul>
  *
  * <p>Nothing here is synchronized: one thread calls a policy. Times are nanoseconds of the caller's
  * clock.
