--- a/router/src/main/java/rushwood/policy/FinalAnswers.java
+++ b/router/src/main/java/rushwood/policy/FinalAnswers.java
@@ -14,14 +14,17 @@
     this.retries = retries;
   }
 
-  /** Gives the final answer. */
-  void rejectOrFail(PendingRequest pending, long now) {
+  /** Tells the client that the request did no harm, and when to try again. */
+  void reject(PendingRequest pending, long now) {
     requests.finish(pending);
-    if (RetryPolicy.isRepeatable(pending)) {
-      actions.reject(pending.request.id(), retries.retryAfterNanos(pending, now));
-    } else {
-      actions.fail(pending.request.id());
-    }
+    actions.reject(pending.request.id(), retries.retryAfterNanos(pending, now));
+    requests.forgetIfDone(pending);
+  }
+
+  /** Tells the client that the request may have run. */
+  void fail(PendingRequest pending) {
+    requests.finish(pending);
+    actions.fail(pending.request.id());
     requests.forgetIfDone(pending);
   }
 
--- a/router/src/main/java/rushwood/policy/PolicyComponents.java
+++ b/router/src/main/java/rushwood/policy/PolicyComponents.java
@@ -15,6 +15,7 @@
   final LostAnswerDetector lostAnswers;
   final OutlierDetector outliers;
   final PrimaryTracker primaries;
+  final RequestDecider decider;
   final WaitQueueDispatcher dispatcher;
   final RequestLifecycle lifecycle;
 
@@ -46,6 +47,7 @@
     SuitabilityPolicy suitability = new SuitabilityPolicy(settings, outliers, longReads);
     ReplicaSelector replicas =
         new ReplicaSelector(random, freshness, suitability, longReads, limiter, healthChecks);
+    decider = new RequestDecider(deadlines, retries, freshness, writes, replicas);
     QueuePolicy queuePolicy =
         new QueuePolicy(settings, serviceTimes, freshness, writes, replicas, limiter);
 
@@ -57,7 +59,7 @@
         new RequestLifecycle(
             requests,
             new RequestExpiry(deadlineQueue, deadlines),
-            new RequestDecider(deadlines, retries, freshness, writes, replicas),
+            decider,
             sender,
             new AttemptResultRecorder(
                 serviceTimes, slowStart, lostAnswers, limiter, outliers, freshness, primaries),
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -42,10 +42,10 @@
     this.healthChecks = healthChecks;
   }
 
-  /** The host for a read now, if it does not have to wait. */
-  @Nullable HostState select(PendingRequest pending, long now) {
+  /** The host for a read now, or why it waits. */
+  Decision select(PendingRequest pending, long now) {
     HostState drawn = longReads.isLong(pending) ? null : selectOfTwo(pending, now);
-    return drawn != null ? drawn : selectOfAll(pending, now);
+    return drawn != null ? drawn.send : selectOfAll(pending, now);
   }
 
   /** The better of two replicas drawn by weight, if both are (likely to be) fresh and free. */
@@ -85,7 +85,7 @@
   }
 
   /** The best acceptable and free member; of equal ones the first from a random place on. */
-  private @Nullable HostState selectOfAll(PendingRequest pending, long now) {
+  private Decision selectOfAll(PendingRequest pending, long now) {
     Suitability best = suitability.best(pending, now);
     if (best != Suitability.FRESH) {
       healthChecks.checkHealthOfLeastRecentlyHeard(
@@ -102,7 +102,12 @@
         selected = host;
       }
     }
-    return selected;
+    if (selected != null) {
+      return selected.send;
+    }
+    return best == Suitability.UNSUITABLE
+        ? Decision.Wait.NO_SUITABLE_HOST
+        : Decision.Wait.NO_FREE_SLOT;
   }
 
   private boolean isAcceptableAndFree(
--- a/router/src/main/java/rushwood/policy/RequestDecider.java
+++ b/router/src/main/java/rushwood/policy/RequestDecider.java
@@ -2,7 +2,20 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Decides whether a request that has no attempt in flight ends, and else which host it goes to. */
+/**
+ * Decides what happens with a request that has no attempt in flight. The first case that applies:
+ *
+ * <ol>
+ *   <li>its answer deadline has come ({@link DeadlinePolicy#answerDeadline}): it ends;
+ *   <li>no further attempt is allowed ({@link RetryPolicy#reasonAgainstAttempt}): it ends;
+ *   <li>a host can take it ({@link WriteSelector}, {@link ReplicaSelector}): it is sent there;
+ *   <li>otherwise it waits for a free slot.
+ * </ol>
+ *
+ * <p>A request that ends is rejected if trying again is harmless, that is, if it may run twice or
+ * provably never ran; otherwise it fails. {@link EndReason} says why it ends, {@link Decision.Wait}
+ * why it waits. A waiting request gets a slot by {@link QueuePolicy}.
+ */
 final class RequestDecider {
   private final DeadlinePolicy deadlines;
   private final RetryPolicy retries;
@@ -23,14 +36,21 @@
     this.replicas = replicas;
   }
 
-  /** Whether the request may get another attempt now; if not, it ends. */
-  boolean canAttempt(PendingRequest pending, long now) {
-    return !deadlines.isExpired(pending, now) && retries.canAttempt(pending, now);
-  }
-
-  /** The host that the request goes to, if it does not have to wait. */
-  @Nullable HostState selectHost(PendingRequest pending, long now) {
+  /** What happens now with a request that has just come, or whose last attempt has ended. */
+  Decision decide(PendingRequest pending, long now) {
+    if (deadlines.isExpired(pending, now)) {
+      return end(pending, EndReason.EXPIRED);
+    }
+    @Nullable EndReason reason = retries.reasonAgainstAttempt(pending, now);
+    if (reason != null) {
+      return end(pending, reason);
+    }
     freshness.updateRequiredPosition(pending, now);
     return pending.isWrite() ? writes.select(pending, now) : replicas.select(pending, now);
   }
+
+  /** The final answer of a request that ends for that reason: rejected or failed. */
+  static Decision end(PendingRequest pending, EndReason reason) {
+    return RetryPolicy.isRepeatable(pending) ? reason.rejection() : reason.failure();
+  }
 }
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -6,7 +6,7 @@
 
 /**
  * Carries each request from its arrival to its final answer: through the wait queue, attempts and
- * their results. What happens with it the components decide.
+ * their results. What happens with it {@link RequestDecider} decides.
  */
 final class RequestLifecycle {
   private final PendingRequests requests;
@@ -40,17 +40,20 @@
     process(pending, now);
   }
 
-  /** Sends the request to a host if one can take it, else lets it wait, or ends it. */
+  /** Decides what happens with a request that has no attempt in flight, and does it. */
   void process(PendingRequest pending, long now) {
-    if (!decider.canAttempt(pending, now)) {
-      finalAnswers.rejectOrFail(pending, now);
-      return;
-    }
-    HostState host = decider.selectHost(pending, now);
-    if (host == null) {
+    carryOut(decider.decide(pending, now), pending, now);
+  }
+
+  private void carryOut(Decision decision, PendingRequest pending, long now) {
+    if (decision instanceof Decision.Send send) {
+      sender.send(pending, send.host(), now);
+    } else if (decision instanceof Decision.Wait) {
       pending.enqueue();
-    } else {
-      sender.send(pending, host, now);
+    } else if (decision instanceof Decision.Reject) {
+      finalAnswers.reject(pending, now);
+    } else if (decision instanceof Decision.Fail) {
+      finalAnswers.fail(pending);
     }
   }
 
@@ -90,7 +93,7 @@
   void endExpired(long now) {
     PendingRequest pending = expiry.pollExpired(now);
     while (pending != null) {
-      finalAnswers.rejectOrFail(pending, now);
+      carryOut(RequestDecider.end(pending, EndReason.EXPIRED), pending, now);
       pending = expiry.pollExpired(now);
     }
   }
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -1,12 +1,22 @@
 package rushwood.policy;
 
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.OverloadSignals;
 
-/** Decides whether a request may be sent (again), to which hosts, and until when. */
+/**
+ * Decides whether a request may be sent (again), to which hosts and until when, and what its client
+ * is told when it is rejected.
+ *
+ * <p>Safety: a request that may have run is sent again only if it is idempotent, or if it has an
+ * idempotency key: then within the key's scope and window.
+ */
 final class RetryPolicy {
-  private static final int MAX_ERRORS = 2; // from two hosts: the request itself may be at fault
-  private static final double WINDOW_SHARE = 0.9; // of a key's window; the rest is for the network
+  /** Errors of that many hosts end a request: it may itself be at fault. */
+  private static final int MAX_ERRORS = 2;
+
+  /** The share of an idempotency window in which retries may begin; the rest is for the network. */
+  private static final double WINDOW_SHARE = 0.9;
 
   private final int maxAttempts;
   private final OverloadSignals overloadSignals;
@@ -16,12 +26,33 @@
     this.overloadSignals = overloadSignals;
   }
 
-  /** Whether another attempt may be made now: within the limits, the retry budget and safety. */
-  boolean canAttempt(PendingRequest pending, long now) {
-    return pending.attemptCount() < maxAttempts
-        && pending.errorCount() < MAX_ERRORS
-        && (!isCostly(pending) || overloadSignals.canRetry(now, pending.request.group()))
-        && isSafe(pending, now);
+  /**
+   * Why no attempt may be made now, if none may. The first case that applies:
+   *
+   * <ol>
+   *   <li>it has had all attempts that the settings allow;
+   *   <li>{@value #MAX_ERRORS} attempts were answered with an error;
+   *   <li>the retry would cost its host work, and the retry budget of the group is used up;
+   *   <li>it may have run, and has no idempotency key and is not idempotent;
+   *   <li>it may have run, and the window of its idempotency key is nearly over.
+   * </ol>
+   */
+  @Nullable EndReason reasonAgainstAttempt(PendingRequest pending, long now) {
+    if (pending.attemptCount() >= maxAttempts) {
+      return EndReason.ATTEMPTS_USED_UP;
+    }
+    if (pending.errorCount() >= MAX_ERRORS) {
+      return EndReason.ERRORS_OF_SEVERAL_HOSTS;
+    }
+    if (isCostly(pending) && !overloadSignals.canRetry(now, pending.request.group())) {
+      return EndReason.RETRY_BUDGET_USED_UP;
+    }
+    if (isSafe(pending, now)) {
+      return null;
+    }
+    return pending.hasIdempotencyKey()
+        ? EndReason.IDEMPOTENCY_WINDOW_OVER
+        : EndReason.POSSIBLY_EXECUTED;
   }
 
   /**
@@ -49,21 +80,26 @@
 
   /** Whether an attempt at that host is safe: an idempotency key is known only within its scope. */
   static boolean isSafeOn(PendingRequest pending, HostState host, long now) {
-    if (isRepeatable(pending)) {
+    if (pending.isIdempotent()) {
       return true;
     }
-    HostState first = pending.firstPossiblyExecuted().host;
-    return isSafe(pending, now)
-        && pending.requestClass.keyScope().isShared(first.endpoint(), host.endpoint());
+    Attempt first = pending.firstPossiblyExecuted();
+    return first == null
+        || (isSafe(pending, now)
+            && pending.requestClass.keyScope().isShared(first.host.endpoint(), host.endpoint()));
   }
 
-  /** Until when an attempt may begin: its connection must not come up after the key's window. */
+  /**
+   * The clock time until when an attempt may begin: its connection must not come up after the
+   * window of the idempotency key, which began with the first attempt that may have run.
+   */
   static long retryDeadline(PendingRequest pending) {
-    if (!pending.hasIdempotencyKey() || !pending.isPossiblyExecuted()) {
+    Attempt first = pending.firstPossiblyExecuted();
+    if (!pending.hasIdempotencyKey() || first == null) {
       return Long.MAX_VALUE;
     }
     long windowNanos = pending.requestClass.idempotencyWindowNanos();
-    return pending.firstPossiblyExecuted().sentAt + (long) (windowNanos * WINDOW_SHARE);
+    return first.sentAt + (long) (windowNanos * WINDOW_SHARE);
   }
 
   /** Whether a request can be sent again after a cancelled attempt, which may have run. */
@@ -71,18 +107,24 @@
     return pending.isIdempotent() || pending.hasIdempotencyKey();
   }
 
-  /** The Retry-After of a rejected request: while others wait, a quick repeat does not help. */
+  /**
+   * The Retry-After of a rejected request, in nanoseconds, 0 for none: while others wait, a quick
+   * repeat does not help.
+   */
   long retryAfterNanos(PendingRequest pending, long now) {
     boolean othersWaiting = !pending.group.firstAttempts.isEmpty();
     return overloadSignals.retryAfterNanos(now, pending.request, othersWaiting);
   }
 
-  /** Records how an attempt ended: the request avoids hosts that were behind or at fault. */
+  /**
+   * Records how an attempt ended. The request avoids the hosts that were behind or at fault. After
+   * other outcomes another host would do no better, or ejection, pauses and limits keep it away.
+   */
   static void attemptFinished(Attempt attempt, AttemptOutcome outcome) {
     switch (outcome) {
       case REPLICA_LAGGING, ERROR, MALFORMED, CONNECTION_LOST, NOT_SENT ->
           attempt.pending.avoid(attempt.host);
-      default -> {} // Another host would do no better, or health and limits keep it away.
+      case SUCCESS, OVERLOADED, TIMED_OUT, CANCELLED, CONNECT_FAILED -> {}
     }
     attempt.end(outcome);
   }
--- a/router/src/main/java/rushwood/policy/WriteSelector.java
+++ b/router/src/main/java/rushwood/policy/WriteSelector.java
@@ -1,7 +1,5 @@
 package rushwood.policy;
 
-import org.jspecify.annotations.Nullable;
-
 /**
  * Chooses the host for a write. The first case that applies:
  *
@@ -32,14 +30,16 @@
     this.limiter = limiter;
   }
 
-  /** The host for a write now, if it does not have to wait. */
-  @Nullable HostState select(PendingRequest pending, long now) {
+  /** The host for a write now, or why it waits. */
+  Decision select(PendingRequest pending, long now) {
     HostState primary = pending.group.primary();
     if (primary != null && outliers.isUsable(primary, now)) {
       boolean isFree = limiter.hasFreeSlot(pending, primary, now);
-      return isFree ? primary : null;
+      return isFree ? primary.send : Decision.Wait.PRIMARY_HAS_NO_FREE_SLOT;
     }
-    return canDiscoverPrimary(pending) ? discoverPrimary(pending, now) : null;
+    return canDiscoverPrimary(pending)
+        ? discoverPrimary(pending, now)
+        : Decision.Wait.PRIMARY_UNKNOWN;
   }
 
   /** One write at a time looks for the primary: at each member once, with half of its attempts. */
@@ -49,14 +49,14 @@
         && pending.attemptCount() < Math.min(group.members().size(), maxDiscoveryAttempts);
   }
 
-  private @Nullable HostState discoverPrimary(PendingRequest pending, long now) {
+  private Decision discoverPrimary(PendingRequest pending, long now) {
     for (HostState host : pending.group.members()) {
       if (isRoleUnknown(host, now) && !pending.avoids(host) && isFree(pending, host, now)) {
         pending.group.startPrimaryDiscovery(pending);
-        return host;
+        return host.send;
       }
     }
-    return null;
+    return Decision.Wait.PRIMARY_UNKNOWN;
   }
 
   private static boolean isRoleUnknown(HostState host, long now) {
--- /dev/null
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -0,0 +1,225 @@
+package rushwood.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import rushwood.api.AttemptOutcome;
+import rushwood.api.Endpoint;
+import rushwood.api.GroupId;
+import rushwood.api.HostId;
+import rushwood.api.NoPolicyActions;
+import rushwood.api.OverloadSignals;
+import rushwood.api.Request;
+import rushwood.api.RequestClass;
+import rushwood.api.RequestClass.Consistency;
+import rushwood.api.RequestClass.Idempotency;
+import rushwood.api.RequestClass.KeyScope;
+import rushwood.api.RequestId;
+import rushwood.api.RoutingSettings;
+import rushwood.api.RoutingSettings.LaggingReadBehavior;
+import rushwood.api.ZoneId;
+
+/** Each case in which a request is sent, waits, is rejected or fails, with its reason. */
+class RequestDeciderTest {
+  private static final long MILLIS = 1_000_000L;
+  private static final long NOW = 1_000_000 * MILLIS;
+  private static final long TIMEOUT = 1_000 * MILLIS;
+  private static final long IDEMPOTENCY_WINDOW = 500 * MILLIS;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final GroupId GROUP = new GroupId(0);
+
+  private static final RequestClass READ = requestClass(0, Idempotency.IDEMPOTENT, false);
+  private static final RequestClass KEYED_WRITE =
+      requestClass(1, Idempotency.IDEMPOTENCY_KEY, true);
+  private static final RequestClass WRITE = requestClass(2, Idempotency.NON_IDEMPOTENT, true);
+
+  /** Nothing is in the retry budget once this is set. */
+  private boolean isRetryBudgetUsedUp;
+
+  private final PolicyComponents components =
+      new PolicyComponents(
+          settings(), new SplittableRandom(1), new NoPolicyActions(), overloadSignals());
+
+  private static RequestClass requestClass(int index, Idempotency idempotency, boolean isWrite) {
+    return new RequestClass(
+        "class" + index,
+        index,
+        400 * MILLIS,
+        idempotency,
+        KeyScope.GLOBAL,
+        IDEMPOTENCY_WINDOW,
+        isWrite,
+        Consistency.EVENTUAL,
+        0,
+        1);
+  }
+
+  private static RoutingSettings settings() {
+    return RoutingSettings.builder()
+        .routerCount(1)
+        .requestClasses(List.of(READ, KEYED_WRITE, WRITE))
+        .laggingReadBehavior(LaggingReadBehavior.REJECTS)
+        .maxAttempts(MAX_ATTEMPTS)
+        .clockResolutionNanos(5 * MILLIS)
+        .isRemovalBinding(true)
+        .coldStartShare(1)
+        .warmupNanos(1_000 * MILLIS)
+        .collapseMultiple(2)
+        .collapseWindowNanos(1_000 * MILLIS)
+        .refreshWithinNanos(10_000 * MILLIS)
+        .build();
+  }
+
+  private OverloadSignals overloadSignals() {
+    return new OverloadSignals() {
+      @Override
+      public long retryAfterNanos(long now, Request request, boolean othersWaiting) {
+        return 0;
+      }
+
+      @Override
+      public boolean canRetry(long now, GroupId group) {
+        return !isRetryBudgetUsedUp;
+      }
+
+      @Override
+      public void attemptSent(long now, GroupId group, boolean retry) {}
+
+      @Override
+      public boolean canConnect(long now, HostId host) {
+        return true;
+      }
+    };
+  }
+
+  private HostState list(String id, boolean isPrimary) {
+    HostId hostId = new HostId(id);
+    components.endpointPolicy.endpointListed(
+        new Endpoint(hostId, GROUP, new ZoneId("z"), 1, 0, isPrimary, Endpoint.State.READY));
+    return components.hosts.host(hostId);
+  }
+
+  private PendingRequest request(RequestClass requestClass) {
+    Request request = new Request(new RequestId("r"), requestClass, null, GROUP, NOW + TIMEOUT, 0);
+    return new PendingRequest(request, components.hosts.group(GROUP), NOW);
+  }
+
+  private static PendingRequest attempted(
+      PendingRequest pending, HostState host, AttemptOutcome outcome) {
+    pending.startAttempt(host, NOW, false).end(outcome);
+    return pending;
+  }
+
+  private Decision decide(PendingRequest pending) {
+    return components.decider.decide(pending, NOW);
+  }
+
+  private static void fillSlots(HostState host) {
+    while (host.occupiedSlots() < host.concurrency.limit()) {
+      host.inFlight.add(new Attempt(PolicyFixtures.pendingRead("x"), host, NOW, false));
+    }
+  }
+
+  @Test
+  void sendsAReadToAReplicaAndAWriteToThePrimary() {
+    HostState primary = list("a", true);
+    HostState replica = list("b", false);
+    assertSame(replica.send, decide(request(READ)));
+    assertSame(primary.send, decide(request(WRITE)));
+  }
+
+  @Test
+  void aWriteWaitsForASlotOfThePrimary() {
+    fillSlots(list("a", true));
+    assertSame(Decision.Wait.PRIMARY_HAS_NO_FREE_SLOT, decide(request(WRITE)));
+  }
+
+  @Test
+  void aWriteWaitsWhileAnotherOneLooksForThePrimary() {
+    HostState host = list("a", false);
+    assertSame(host.send, decide(request(WRITE)));
+    assertSame(Decision.Wait.PRIMARY_UNKNOWN, decide(request(WRITE)));
+  }
+
+  @Test
+  void aReadWaitsForASlotOrForASuitableHost() {
+    assertSame(Decision.Wait.NO_SUITABLE_HOST, decide(request(READ)));
+    HostState replica = list("a", false);
+    fillSlots(replica);
+    assertSame(Decision.Wait.NO_FREE_SLOT, decide(request(READ)));
+    PendingRequest pending = request(READ);
+    pending.avoid(replica);
+    assertSame(Decision.Wait.NO_SUITABLE_HOST, decide(pending));
+  }
+
+  @Test
+  void endsARequestWhoseAnswerDeadlineHasCome() {
+    list("a", true);
+    PendingRequest pending = request(WRITE);
+    assertInstanceOf(
+        Decision.Send.class, components.decider.decide(pending, NOW + TIMEOUT - 11 * MILLIS));
+    assertEquals(
+        new Decision.Reject(EndReason.EXPIRED),
+        components.decider.decide(pending, NOW + TIMEOUT - 10 * MILLIS));
+  }
+
+  @Test
+  void endsARequestThatHasHadAllAttempts() {
+    HostState host = list("a", true);
+    PendingRequest pending = request(READ);
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      assertInstanceOf(Decision.Send.class, decide(pending));
+      attempted(pending, host, AttemptOutcome.OVERLOADED);
+    }
+    assertEquals(new Decision.Reject(EndReason.ATTEMPTS_USED_UP), decide(pending));
+  }
+
+  @Test
+  void endsARequestThatSeveralHostsAnsweredWithAnError() {
+    list("a", true);
+    HostState replica = list("b", false);
+    PendingRequest pending = attempted(request(READ), replica, AttemptOutcome.ERROR);
+    assertInstanceOf(Decision.Send.class, decide(pending));
+    attempted(pending, replica, AttemptOutcome.ERROR);
+    assertEquals(new Decision.Reject(EndReason.ERRORS_OF_SEVERAL_HOSTS), decide(pending));
+  }
+
+  @Test
+  void endsACostlyRetryThatTheBudgetDoesNotAllow() {
+    HostState host = list("a", false);
+    isRetryBudgetUsedUp = true;
+    assertInstanceOf(
+        Decision.Send.class, decide(attempted(request(READ), host, AttemptOutcome.NOT_SENT)));
+    assertEquals(
+        new Decision.Reject(EndReason.RETRY_BUDGET_USED_UP),
+        decide(attempted(request(READ), host, AttemptOutcome.OVERLOADED)));
+    assertEquals(
+        new Decision.Fail(EndReason.RETRY_BUDGET_USED_UP),
+        decide(attempted(request(WRITE), host, AttemptOutcome.TIMED_OUT)));
+  }
+
+  @Test
+  void failsANonIdempotentRequestThatMayHaveRun() {
+    HostState host = list("a", true);
+    assertInstanceOf(
+        Decision.Send.class, decide(attempted(request(WRITE), host, AttemptOutcome.OVERLOADED)));
+    assertEquals(
+        new Decision.Fail(EndReason.POSSIBLY_EXECUTED),
+        decide(attempted(request(WRITE), host, AttemptOutcome.CONNECTION_LOST)));
+  }
+
+  @Test
+  void failsAKeyedRequestThatMayHaveRunOnceItsWindowIsNearlyOver() {
+    HostState host = list("a", true);
+    PendingRequest pending = attempted(request(KEYED_WRITE), host, AttemptOutcome.CONNECTION_LOST);
+    long retryDeadline = NOW + IDEMPOTENCY_WINDOW / 10 * 9;
+    assertInstanceOf(Decision.Send.class, components.decider.decide(pending, retryDeadline - 1));
+    assertEquals(
+        new Decision.Fail(EndReason.IDEMPOTENCY_WINDOW_OVER),
+        components.decider.decide(pending, retryDeadline));
+  }
+}
