--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -1,6 +1,7 @@
 package rushwood.policy;
 
 import java.util.PriorityQueue;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.PolicyActions;
 
 /**
@@ -34,8 +35,8 @@
     requestTimer(deadline);
   }
 
-  /** Removes and returns the next unfinished request whose deadline has come, or null. */
-  PendingRequest pollExpired(long now) {
+  /** Removes and returns the next unfinished request whose deadline has come, if there is one. */
+  @Nullable PendingRequest pollExpired(long now) {
     return earliestDeadline() <= now ? entries.poll().pending() : null;
   }
 
--- a/router/src/main/java/rushwood/policy/SessionWrites.java
+++ b/router/src/main/java/rushwood/policy/SessionWrites.java
@@ -2,6 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.SessionId;
 
 /**
@@ -26,8 +27,8 @@
     }
   }
 
-  /** The position that a read of the session must see. */
-  long lastCommit(SessionId session) {
+  /** The position that a read must see, of that session or of none. */
+  long lastCommit(@Nullable SessionId session) {
     return commits.getOrDefault(session, latestForgottenCommit);
   }
 }
--- a/router/src/main/java/rushwood/policy/WaitQueue.java
+++ b/router/src/main/java/rushwood/policy/WaitQueue.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.function.ToLongFunction;
+import org.jspecify.annotations.Nullable;
 
 /** Requests that wait for a free slot in one group, in order of arrival in the queue. */
 final class WaitQueue {
@@ -26,11 +27,11 @@
   }
 
   /**
-   * Returns the eligible request with the smallest priority value, the earliest of equal ones, or
-   * null. Eligibility is tested in queue order, and only for requests whose value is below the best
-   * one so far: the test may draw random numbers.
+   * Returns the eligible request with the smallest priority value, the earliest of equal ones, if
+   * there is one. Eligibility is tested in queue order, and only for requests whose value is below
+   * the best one so far: the test may draw random numbers.
    */
-  PendingRequest findFirst(
+  @Nullable PendingRequest findFirst(
       ToLongFunction<PendingRequest> priority, Predicate<PendingRequest> isEligible) {
     PendingRequest best = null;
     long bestPriority = Long.MAX_VALUE;
--- a/router/src/main/java/rushwood/policy/package-info.java
+++ b/router/src/main/java/rushwood/policy/package-info.java
@@ -1,7 +1,8 @@
 /**
  * The routing policy: decides which host gets a request and when, whether it is retried, and
  * whether it is rejected. {@link rushwood.policy.DefaultRoutingPolicy} is the entry point, {@code
- * RequestDecider} the next place to look; {@code docs/design.md} has the reasons.
+ * RequestDecider} has the cases in which a request is sent, waits, is rejected or fails; {@code
+ * docs/design.md} has the reasons.
  *
  * <p>The files that {@code policy} names in {@code deploy/balancer.toml} hold every decision and
  * every tuned value. The other types
@@ -10,6 +11,7 @@
  *   <li>carry out what was decided: {@code RequestLifecycle}, {@code AttemptSender}, {@code
  *       AttemptResultRecorder}, {@code WaitQueueDispatcher}, {@code RequestExpiry}, {@code
  *       FinalAnswers};
+ *   <li>are results of decisions: {@code Decision}, {@code EndReason};
  *   <li>hold state: {@code HostTable}, {@code HostState}, {@code HostHealth}, {@code
  *       ReplicationState}, {@code ConcurrencyState}, {@code SlowStartState}, {@code GroupState},
  *       {@code PendingRequests}, {@code PendingRequest}, {@code Attempt}, {@code InFlightAttempts},
@@ -22,4 +24,7 @@
  * <p>Nothing here is synchronized: one thread calls a policy. Times are nanoseconds of the caller's
  * clock.
  */
+@NullMarked
 package rushwood.policy;
+
+import org.jspecify.annotations.NullMarked;
