--- a/router/src/main/java/rushwood/policy/DeadlinePolicy.java
+++ b/router/src/main/java/rushwood/policy/DeadlinePolicy.java
@@ -8,8 +8,10 @@
   /** Clock ticks between an answer of the router and its client's deadline. */
   private static final int MARGIN_TICKS = 2;
 
+  private static final long NOT_SHUTTING_DOWN = Long.MAX_VALUE;
+
   private final long marginNanos;
-  private long shutdownAt = Long.MAX_VALUE;
+  private long shutdownAt = NOT_SHUTTING_DOWN;
 
   /**
    * Creates the policy of a router that is not shutting down.
--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -44,7 +44,7 @@
     while (!entries.isEmpty() && entries.peek().pending().isFinished()) {
       entries.poll();
     }
-    return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().deadline();
+    return entries.isEmpty() ? NO_TIMER : entries.peek().deadline();
   }
 
   /** Asks to be called at that time, unless an earlier call is due. */
--- a/router/src/main/java/rushwood/policy/EndReason.java
+++ b/router/src/main/java/rushwood/policy/EndReason.java
@@ -6,8 +6,8 @@
   EXPIRED,
   /** The settings allow no more attempts of one request. */
   ATTEMPTS_USED_UP,
-  /** Several hosts answered with an error: the request itself may be at fault. */
-  ERRORS_OF_SEVERAL_HOSTS,
+  /** Attempts were answered with errors: the request itself may be at fault. */
+  TOO_MANY_ERRORS,
   /** Under overload, the retry budget of the group allows no retry. */
   RETRY_BUDGET_USED_UP,
   /** An earlier attempt may have run, and the request must not run twice. */
--- a/router/src/main/java/rushwood/policy/RequestDecider.java
+++ b/router/src/main/java/rushwood/policy/RequestDecider.java
@@ -1,20 +1,27 @@
 package rushwood.policy;
 
-import org.jspecify.annotations.Nullable;
-
 /**
  * Decides what happens with a request that has no attempt in flight. The first case that applies:
  *
  * <ol>
- *   <li>its answer deadline has come ({@link DeadlinePolicy#answerDeadline}): it ends;
- *   <li>no further attempt is allowed ({@link RetryPolicy#reasonAgainstAttempt}): it ends;
- *   <li>a host can take it ({@link WriteSelector}, {@link ReplicaSelector}): it is sent there;
- *   <li>otherwise it waits for a free slot.
+ *   <li>its answer deadline has come, which {@link DeadlinePolicy#answerDeadline} sets: it ends,
+ *       {@link EndReason#EXPIRED};
+ *   <li>it has had all attempts that the settings allow: it ends, {@link
+ *       EndReason#ATTEMPTS_USED_UP};
+ *   <li>several attempts were answered with an error: it ends, {@link EndReason#TOO_MANY_ERRORS};
+ *   <li>its retry would cost a host work, and overload control allows its group no retry: it ends,
+ *       {@link EndReason#RETRY_BUDGET_USED_UP};
+ *   <li>it may have run, and must not run twice: it ends, {@link EndReason#POSSIBLY_EXECUTED};
+ *   <li>it may have run, and the window of its idempotency key is nearly over: it ends, {@link
+ *       EndReason#IDEMPOTENCY_WINDOW_OVER};
+ *   <li>a host can take it: it is sent there, {@link Decision.Send};
+ *   <li>otherwise it waits, {@link Decision.Wait}, until {@link QueuePolicy} gives it a slot or its
+ *       answer deadline comes.
  * </ol>
  *
- * <p>A request that ends is rejected if trying again is harmless, that is, if it may run twice or
- * provably never ran; otherwise it fails. {@link EndReason} says why it ends, {@link Decision.Wait}
- * why it waits. A waiting request gets a slot by {@link QueuePolicy}.
+ * <p>A request that ends is rejected if trying again is harmless, that is, if it is idempotent or
+ * provably never ran; otherwise it fails. {@link RetryPolicy} has cases 2 to 6, {@link
+ * WriteSelector} and {@link ReplicaSelector} choose the host.
  */
 final class RequestDecider {
   private final DeadlinePolicy deadlines;
@@ -41,7 +48,7 @@
     if (deadlines.isExpired(pending, now)) {
       return end(pending, EndReason.EXPIRED);
     }
-    @Nullable EndReason reason = retries.reasonAgainstAttempt(pending, now);
+    EndReason reason = retries.reasonAgainstAttempt(pending, now);
     if (reason != null) {
       return end(pending, reason);
     }
@@ -49,7 +56,7 @@
     return pending.isWrite() ? writes.select(pending, now) : replicas.select(pending, now);
   }
 
-  /** The final answer of a request that ends for that reason: rejected or failed. */
+  /** How a request ends for that reason: rejected if trying again is harmless, else failed. */
   static Decision end(PendingRequest pending, EndReason reason) {
     return RetryPolicy.isRepeatable(pending) ? reason.rejection() : reason.failure();
   }
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -12,12 +12,14 @@
  * idempotency key: then within the key's scope and window.
  */
 final class RetryPolicy {
-  /** Errors of that many hosts end a request: it may itself be at fault. */
+  /** That many attempts with an error end a request: it may itself be at fault. */
   private static final int MAX_ERRORS = 2;
 
   /** The share of an idempotency window in which retries may begin; the rest is for the network. */
   private static final double WINDOW_SHARE = 0.9;
 
+  private static final long NO_DEADLINE = Long.MAX_VALUE;
+
   private final int maxAttempts;
   private final OverloadSignals overloadSignals;
 
@@ -42,7 +44,7 @@
       return EndReason.ATTEMPTS_USED_UP;
     }
     if (pending.errorCount() >= MAX_ERRORS) {
-      return EndReason.ERRORS_OF_SEVERAL_HOSTS;
+      return EndReason.TOO_MANY_ERRORS;
     }
     if (isCostly(pending) && !overloadSignals.canRetry(now, pending.request.group())) {
       return EndReason.RETRY_BUDGET_USED_UP;
@@ -90,13 +92,14 @@
   }
 
   /**
-   * The clock time until when an attempt may begin: its connection must not come up after the
-   * window of the idempotency key, which began with the first attempt that may have run.
+   * The clock time until when an attempt may begin; {@code Long.MAX_VALUE} without a limit. Its
+   * connection must not come up after the window of the idempotency key, which began with the first
+   * attempt that may have run.
    */
   static long retryDeadline(PendingRequest pending) {
     Attempt first = pending.firstPossiblyExecuted();
     if (!pending.hasIdempotencyKey() || first == null) {
-      return Long.MAX_VALUE;
+      return NO_DEADLINE;
     }
     long windowNanos = pending.requestClass.idempotencyWindowNanos();
     return first.sentAt + (long) (windowNanos * WINDOW_SHARE);
--- a/router/src/test/java/rushwood/policy/RequestDeciderTest.java
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -25,10 +25,10 @@
 
 /** Each case in which a request is sent, waits, is rejected or fails, with its reason. */
 class RequestDeciderTest {
-  private static final long MILLIS = 1_000_000L;
-  private static final long NOW = 1_000_000 * MILLIS;
-  private static final long TIMEOUT = 1_000 * MILLIS;
-  private static final long IDEMPOTENCY_WINDOW = 500 * MILLIS;
+  private static final long MILLISECOND = 1_000_000L;
+  private static final long NOW = 1_000_000 * MILLISECOND;
+  private static final long TIMEOUT = 1_000 * MILLISECOND;
+  private static final long IDEMPOTENCY_WINDOW = 500 * MILLISECOND;
   private static final int MAX_ATTEMPTS = 4;
   private static final GroupId GROUP = new GroupId(0);
 
@@ -48,7 +48,7 @@
     return new RequestClass(
         "class" + index,
         index,
-        400 * MILLIS,
+        400 * MILLISECOND,
         idempotency,
         KeyScope.GLOBAL,
         IDEMPOTENCY_WINDOW,
@@ -64,13 +64,13 @@
         .requestClasses(List.of(READ, KEYED_WRITE, WRITE))
         .laggingReadBehavior(LaggingReadBehavior.REJECTS)
         .maxAttempts(MAX_ATTEMPTS)
-        .clockResolutionNanos(5 * MILLIS)
+        .clockResolutionNanos(5 * MILLISECOND)
         .isRemovalBinding(true)
         .coldStartShare(1)
-        .warmupNanos(1_000 * MILLIS)
+        .warmupNanos(1_000 * MILLISECOND)
         .collapseMultiple(2)
-        .collapseWindowNanos(1_000 * MILLIS)
-        .refreshWithinNanos(10_000 * MILLIS)
+        .collapseWindowNanos(1_000 * MILLISECOND)
+        .refreshWithinNanos(10_000 * MILLISECOND)
         .build();
   }
 
@@ -161,10 +161,10 @@
     list("a", true);
     PendingRequest pending = request(WRITE);
     assertInstanceOf(
-        Decision.Send.class, components.decider.decide(pending, NOW + TIMEOUT - 11 * MILLIS));
+        Decision.Send.class, components.decider.decide(pending, NOW + TIMEOUT - 11 * MILLISECOND));
     assertEquals(
         new Decision.Reject(EndReason.EXPIRED),
-        components.decider.decide(pending, NOW + TIMEOUT - 10 * MILLIS));
+        components.decider.decide(pending, NOW + TIMEOUT - 10 * MILLISECOND));
   }
 
   @Test
@@ -179,13 +179,13 @@
   }
 
   @Test
-  void endsARequestThatSeveralHostsAnsweredWithAnError() {
+  void endsARequestAfterTwoErrors() {
     list("a", true);
     HostState replica = list("b", false);
     PendingRequest pending = attempted(request(READ), replica, AttemptOutcome.ERROR);
     assertInstanceOf(Decision.Send.class, decide(pending));
     attempted(pending, replica, AttemptOutcome.ERROR);
-    assertEquals(new Decision.Reject(EndReason.ERRORS_OF_SEVERAL_HOSTS), decide(pending));
+    assertEquals(new Decision.Reject(EndReason.TOO_MANY_ERRORS), decide(pending));
   }
 
   @Test
