--- a/router/src/test/java/rushwood/policy/ScenarioPlayer.java
+++ b/router/src/test/java/rushwood/policy/ScenarioPlayer.java
@@ -43,33 +43,33 @@
  * request NAME CLASS [deadline MS from now] [session S] [group N]
  * result NAME OUTCOME [from HOST] [role ROLE] [took MS] [position MS] [reports ROLE]
  *                                  the end of the last attempt, or of the one at that host
- * probe-result HOST yes|no [position MS] [reports ROLE]
+ * health-check-result HOST yes|no [position MS] [reports ROLE]
  * disconnect NAME                  the client of the request goes away
  * shutdown MS                      the router is to end at that time
  * </pre>
  *
  * <p>What the policy does becomes a list of lines: {@code send REQUEST HOST}, {@code cancel REQUEST
- * ATTEMPT}, {@code reject REQUEST RETRY-AFTER}, {@code fail REQUEST}, {@code probe HOST}, {@code
- * subscribe} and {@code log TEXT}. {@code expect PATTERN} takes the next line that matches, passing
- * over others; {@code never PATTERN} fails if a line since the last expected one matches; {@code
- * count N PATTERN} fails unless N lines since the last {@code mark} match. A pattern matches the
- * beginning of a line word by word; * stands for any word.
+ * ATTEMPT}, {@code reject REQUEST RETRY-AFTER}, {@code fail REQUEST}, {@code check-health HOST},
+ * {@code subscribe} and {@code log TEXT}. {@code expect PATTERN} takes the next line that matches,
+ * passing over others; {@code never PATTERN} fails if a line since the last expected one matches;
+ * {@code count N PATTERN} fails unless N lines since the last {@code mark} match. A pattern matches
+ * the beginning of a line word by word; * stands for any word.
  */
 final class ScenarioPlayer implements PolicyActions {
-  private static final long MS = 1_000_000L;
-  private static final long START = 1_000_000 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long START_TIME = 1_000_000 * NANOS_PER_MILLI;
 
   private final Map<String, String> settings = defaultSettings();
   private final Map<String, RequestClass> requestClasses = new LinkedHashMap<>();
   private final Map<String, String> defaultDeadlines = new HashMap<>();
   private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
   private final Map<String, List<String>> attemptHosts = new HashMap<>();
-  private final List<String> performed = new ArrayList<>();
+  private final List<String> actions = new ArrayList<>();
   private final TreeSet<Long> timers = new TreeSet<>();
   private RoutingPolicy policy;
-  private long now = START;
+  private long now = START_TIME;
   private int expectedUntil;
-  private int mark;
+  private int countedFrom;
 
   private static Map<String, String> defaultSettings() {
     Map<String, String> settings = new HashMap<>();
@@ -85,29 +85,29 @@
   }
 
   void execute(Command command) {
-    switch (command.word(0)) {
+    switch (command.name()) {
       case "set" -> settings.put(command.word(1), command.word(2));
       case "class" -> defineRequestClass(command);
       case "host" -> defineEndpoint(command);
-      case "at" -> advance(START + nanos(command.word(1)));
-      case "endpoints" -> policy().endpointsReplaced(now, endpointsOf(command), now == START);
+      case "at" -> advance(START_TIME + nanos(command.word(1)));
+      case "endpoints" -> policy().endpointsReplaced(now, endpointsOf(command), now == START_TIME);
       case "update" -> policy().endpointsUpdated(now, endpointsOf(command));
       case "refresh-fails" -> policy().endpointRefreshFailed(now);
       case "request" -> request(command);
       case "result" -> finishAttempt(command);
-      case "probe-result" -> finishHealthCheck(command);
-      case "shutdown" -> policy().shuttingDown(now, START + nanos(command.word(1)));
+      case "health-check-result" -> finishHealthCheck(command);
+      case "shutdown" -> policy().shuttingDown(now, START_TIME + nanos(command.word(1)));
       case "disconnect" -> policy().clientDisconnected(now, new RequestId(command.word(1)));
-      case "mark" -> mark = performed.size();
+      case "mark" -> countedFrom = actions.size();
       case "expect" -> expect(command);
       case "never" -> expectNone(command);
       case "count" -> expectCount(command);
-      default -> Assertions.fail(command.source() + ": unknown word " + command.word(0));
+      default -> Assertions.fail(command.source() + ": unknown word " + command.name());
     }
   }
 
   private static long nanos(String millis) {
-    return Math.round(Double.parseDouble(millis) * MS);
+    return Math.round(Double.parseDouble(millis) * NANOS_PER_MILLI);
   }
 
   private RoutingPolicy policy() {
@@ -129,15 +129,15 @@
         .hasHealthChecks(true)
         .canCancel(true)
         .canSendRetryAfter(true)
-        .maxRetryAfterNanos(500 * MS)
+        .maxRetryAfterNanos(500 * NANOS_PER_MILLI)
         .maxAttempts(Integer.parseInt(settings.get("max-attempts")))
-        .clockResolutionNanos(5 * MS)
+        .clockResolutionNanos(5 * NANOS_PER_MILLI)
         .isRemovalBinding(Boolean.parseBoolean(settings.get("removal-binding")))
         .coldStartShare(Double.parseDouble(settings.get("cold-share")))
         .warmupNanos(nanos(settings.get("warmup")))
         .collapseMultiple(2)
-        .collapseWindowNanos(1000 * MS)
-        .refreshWithinNanos(10_000 * MS)
+        .collapseWindowNanos(1000 * NANOS_PER_MILLI)
+        .refreshWithinNanos(10_000 * NANOS_PER_MILLI)
         .build();
   }
 
@@ -171,7 +171,7 @@
             new GroupId(Integer.parseInt(command.operand("group", "1"))),
             new ZoneId(command.operand("zone", "z")),
             1,
-            started == null ? 0 : START + nanos(started),
+            started == null ? 0 : START_TIME + nanos(started),
             command.operand("primary", "no").equals("yes"),
             Endpoint.State.valueOf(command.operand("state", "READY"))));
   }
@@ -224,7 +224,7 @@
     String position = command.operand("position", null);
     return position == null
         ? LoadReport.NONE
-        : new LoadReport(START + nanos(position), role(command.operand("reports", null)));
+        : new LoadReport(START_TIME + nanos(position), role(command.operand("reports", null)));
   }
 
   private static HostRole role(String word) {
@@ -240,29 +240,30 @@
   }
 
   private void expect(Command command) {
-    for (int i = expectedUntil; i < performed.size(); i++) {
-      if (matches(command, 1, performed.get(i))) {
+    for (int i = expectedUntil; i < actions.size(); i++) {
+      if (matches(command, 1, actions.get(i))) {
         expectedUntil = i + 1;
         return;
       }
     }
-    Assertions.fail(command.source() + ": no " + command + " in " + performedSinceExpected());
+    Assertions.fail(command.source() + ": no " + command + " in " + actionsSinceExpected());
   }
 
   private void expectNone(Command command) {
-    if (performedSinceExpected().stream().anyMatch(line -> matches(command, 1, line))) {
-      Assertions.fail(command.source() + ": " + command + " in " + performedSinceExpected());
+    if (actionsSinceExpected().stream().anyMatch(line -> matches(command, 1, line))) {
+      Assertions.fail(command.source() + ": " + command + " in " + actionsSinceExpected());
     }
   }
 
-  private List<String> performedSinceExpected() {
-    return performed.subList(expectedUntil, performed.size());
+  private List<String> actionsSinceExpected() {
+    return actions.subList(expectedUntil, actions.size());
   }
 
   private void expectCount(Command command) {
-    long found = performed.stream().skip(mark).filter(line -> matches(command, 2, line)).count();
+    long found =
+        actions.stream().skip(countedFrom).filter(line -> matches(command, 2, line)).count();
     if (found != Long.parseLong(command.word(1))) {
-      Assertions.fail(command.source() + ": " + found + " of " + command + " in " + performed);
+      Assertions.fail(command.source() + ": " + found + " of " + command + " in " + actions);
     }
   }
 
@@ -281,28 +282,28 @@
 
   @Override
   public void send(RequestId request, HostId host, long timeoutNanos, long startWithinNanos) {
-    attemptHosts.computeIfAbsent(request.value(), each -> new ArrayList<>()).add(host.value());
-    performed.add("send " + request + " " + host);
+    attemptHosts.computeIfAbsent(request.value(), id -> new ArrayList<>()).add(host.value());
+    actions.add("send " + request + " " + host);
   }
 
   @Override
   public void cancel(RequestId request, int attemptNumber) {
-    performed.add("cancel " + request + " " + attemptNumber);
+    actions.add("cancel " + request + " " + attemptNumber);
   }
 
   @Override
   public void reject(RequestId request, long retryAfterNanos) {
-    performed.add("reject " + request + " " + retryAfterNanos / MS);
+    actions.add("reject " + request + " " + retryAfterNanos / NANOS_PER_MILLI);
   }
 
   @Override
   public void fail(RequestId request) {
-    performed.add("fail " + request);
+    actions.add("fail " + request);
   }
 
   @Override
   public void checkHealth(HostId host) {
-    performed.add("probe " + host);
+    actions.add("check-health " + host);
   }
 
   @Override
@@ -312,11 +313,11 @@
 
   @Override
   public void subscribeToEndpoints() {
-    performed.add("subscribe");
+    actions.add("subscribe");
   }
 
   @Override
   public void log(LogLevel level, String line) {
-    performed.add("log " + line);
+    actions.add("log " + line);
   }
 }
--- a/router/src/test/java/rushwood/policy/ScenarioScript.java
+++ b/router/src/test/java/rushwood/policy/ScenarioScript.java
@@ -15,6 +15,12 @@
 final class ScenarioScript {
   /** One command: its words, and the file and line that it stands in. */
   record Command(List<String> words, String source) {
+    /** The first word, which says what the command does. */
+    String name() {
+      return words.get(0);
+    }
+
+    /** The word at that place, counted from the name at 0. */
     String word(int index) {
       return words.get(index);
     }
@@ -63,7 +69,7 @@
     while (index < lines.size()) {
       Command line = lines.get(index);
       index++;
-      if (line.word(0).equals("repeat")) {
+      if (line.name().equals("repeat")) {
         int end = endOfBlock(lines, index);
         commands.addAll(repeat(line, expand(lines.subList(index, end))));
         index = end + 1;
@@ -77,7 +83,7 @@
   private static int endOfBlock(List<Command> lines, int start) {
     int depth = 1;
     for (int i = start; i < lines.size(); i++) {
-      String word = lines.get(i).word(0);
+      String word = lines.get(i).name();
       if (word.equals("repeat")) {
         depth++;
       } else if (word.equals("end") && --depth == 0) {
@@ -93,7 +99,7 @@
     List<Command> commands = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       for (Command command : block) {
-        Command moved = command.word(0).equals("at") ? command.later(i * step) : command;
+        Command moved = command.name().equals("at") ? command.later(i * step) : command;
         commands.add(moved.replace(repeat.word(3), i));
       }
     }
--- a/router/src/test/java/rushwood/policy/SlowStartSimulation.java
+++ b/router/src/test/java/rushwood/policy/SlowStartSimulation.java
@@ -42,20 +42,21 @@
 
   private record Event(long time, long order, Runnable task) {}
 
-  private static final long MS = 1_000_000L;
-  private static final long START = 1_000_000_000 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long START_TIME = 1_000_000_000 * NANOS_PER_MILLI;
 
   /** By then the host bears several times as much as at first. */
-  private static final long DURATION = 8_000 * MS;
+  private static final long DURATION = 8_000 * NANOS_PER_MILLI;
 
-  private static final long LEAD_TIME = 3_000 * MS;
-  private static final long CHANGE_TIME = 2_500 * MS;
-  private static final long REQUEST_TIMEOUT = 1_500 * MS;
+  private static final long LEAD_TIME = 3_000 * NANOS_PER_MILLI;
+  private static final long CHANGE_TIME = 2_500 * NANOS_PER_MILLI;
+  private static final long REQUEST_TIMEOUT = 1_500 * NANOS_PER_MILLI;
   private static final int HOST_COUNT = 4;
   private static final HostId PRIMARY = new HostId("h0");
   private static final HostId COLD_HOST = new HostId("h3");
   private static final GroupId GROUP = new GroupId(0);
-  private static final RequestClass READ = RequestClassFixture.eventualRead("read", 0, 400 * MS);
+  private static final RequestClass READ =
+      RequestClassFixture.eventualRead("read", 0, 400 * NANOS_PER_MILLI);
 
   private final SplittableRandom random;
   private final Situation situation;
@@ -66,14 +67,14 @@
   private final List<Long> attemptsAtColdHost = new ArrayList<>();
   private final int slots;
   private final long serviceTime;
-  private long now = START;
+  private long now = START_TIME;
   private long nextOrder;
 
   SlowStartSimulation(long seed, int routerCount, Situation situation) {
     random = new SplittableRandom(seed);
     this.situation = situation;
     slots = 2 + random.nextInt(4);
-    serviceTime = (30 + random.nextInt(50)) * MS;
+    serviceTime = (30 + random.nextInt(50)) * NANOS_PER_MILLI;
     settings = drawSettings(routerCount);
     for (int i = 0; i < HOST_COUNT; i++) {
       HostId id = new HostId("h" + i);
@@ -92,15 +93,15 @@
         .hasHealthChecks(true)
         .canCancel(true)
         .canSendRetryAfter(true)
-        .maxRetryAfterNanos(500 * MS)
+        .maxRetryAfterNanos(500 * NANOS_PER_MILLI)
         .maxAttempts(10)
-        .clockResolutionNanos(5 * MS)
+        .clockResolutionNanos(5 * NANOS_PER_MILLI)
         .isRemovalBinding(true)
         .coldStartShare(0.15 + 0.15 * random.nextInt(2))
-        .warmupNanos((9000 + random.nextInt(7000)) * MS)
+        .warmupNanos((9000 + random.nextInt(7000)) * NANOS_PER_MILLI)
         .collapseMultiple(multiples[random.nextInt(3)])
-        .collapseWindowNanos(windows[random.nextInt(3)] * MS)
-        .refreshWithinNanos(10_000 * MS)
+        .collapseWindowNanos(windows[random.nextInt(3)] * NANOS_PER_MILLI)
+        .refreshWithinNanos(10_000 * NANOS_PER_MILLI)
         .build();
   }
 
@@ -122,10 +123,10 @@
   void run() {
     if (situation == Situation.OTHER_HOSTS_FAIL) {
       schedule(
-          START + CHANGE_TIME,
+          START_TIME + CHANGE_TIME,
           () -> hosts.forEach((id, host) -> host.isDead = !id.equals(COLD_HOST)));
     }
-    while (events.peek().time < START + DURATION) {
+    while (events.peek().time < START_TIME + DURATION) {
       Event next = events.poll();
       now = next.time;
       next.task.run();
@@ -156,7 +157,7 @@
 
   /** The attempts that the cold host bears in a collapse window when it has just started. */
   double initialCapacity() {
-    return capacity(START);
+    return capacity(START_TIME);
   }
 
   private double capacity(long time) {
@@ -170,13 +171,13 @@
   /** The share of its capacity that the cold host has at the least. */
   private double coldShare(long time) {
     double initial = settings.coldStartShare();
-    return Math.min(1, initial + (1 - initial) * (time - START) / settings.warmupNanos());
+    return Math.min(1, initial + (1 - initial) * (time - START_TIME) / settings.warmupNanos());
   }
 
   private boolean isQuiet() {
     return situation == Situation.QUIET_THEN_BURST
-        && now > START - 1000 * MS
-        && now < START + CHANGE_TIME;
+        && now > START_TIME - 1000 * NANOS_PER_MILLI
+        && now < START_TIME + CHANGE_TIME;
   }
 
   private void schedule(long time, Runnable task) {
@@ -196,7 +197,7 @@
     Host(boolean isCold) {
       this.isCold = isCold;
       for (int i = 0; i < slots; i++) {
-        slotsFreeAt.add(START);
+        slotsFreeAt.add(START_TIME);
       }
     }
 
@@ -228,12 +229,12 @@
     void start(long requestInterval) {
       this.requestInterval = requestInterval;
       if (situation == Situation.ROUTERS_START || situation == Situation.ALL_START) {
-        schedule(START, this::startPolicy);
+        schedule(START_TIME, this::startPolicy);
         return;
       }
-      schedule(START - LEAD_TIME, this::startPolicy);
+      schedule(START_TIME - LEAD_TIME, this::startPolicy);
       List<Endpoint> change = List.of(endpoint(COLD_HOST, true));
-      schedule(START, () -> policy.endpointsUpdated(now, change));
+      schedule(START_TIME, () -> policy.endpointsUpdated(now, change));
     }
 
     private void startPolicy() {
@@ -242,7 +243,7 @@
       List<Endpoint> endpoints = new ArrayList<>();
       hosts.forEach(
           (id, host) -> {
-            if (now >= START || !id.equals(COLD_HOST)) {
+            if (now >= START_TIME || !id.equals(COLD_HOST)) {
               endpoints.add(endpoint(id, host.isCold));
             }
           });
@@ -256,7 +257,7 @@
           GROUP,
           new ZoneId("z"),
           1,
-          isCold ? START : 0,
+          isCold ? START_TIME : 0,
           id.equals(PRIMARY),
           Endpoint.State.READY);
     }
@@ -282,7 +283,7 @@
       }
       Host host = hosts.get(id);
       long sentAt = now;
-      long doneAt = host.isDead ? sentAt + MS : host.serve();
+      long doneAt = host.isDead ? sentAt + NANOS_PER_MILLI : host.serve();
       boolean timesOut = doneAt > sentAt + timeoutNanos;
       AttemptOutcome servedOutcome = timesOut ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCESS;
       AttemptOutcome outcome = host.isDead ? AttemptOutcome.CONNECT_FAILED : servedOutcome;
@@ -306,7 +307,7 @@
     @Override
     public void checkHealth(HostId host) {
       schedule(
-          now + MS,
+          now + NANOS_PER_MILLI,
           () -> policy.healthCheckFinished(now, host, !hosts.get(host).isDead, LoadReport.NONE));
     }
 
