--- a/router/src/test/java/rushwood/policy/PolicyFilesTest.java
+++ b/router/src/test/java/rushwood/policy/PolicyFilesTest.java
@@ -1,6 +1,7 @@
 package rushwood.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -10,6 +11,7 @@
 import java.util.List;
 import java.util.regex.MatchResult;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** What the deployment asks of the files that `policy` names in deploy/balancer.toml. */
@@ -24,6 +26,21 @@
               + "|\\bThread\\b|synchronized|Math\\.random|new (Splittable)?Random"
               + "|static (?!final|\\w+ \\w+\\(|\\w+\\()\\w+ \\w+ *(=|;)");
 
+  private static final Path PACKAGE = Path.of("src/main/java/rushwood/policy");
+
+  /** Names of types that decide something. */
+  private static final Pattern DECIDING_TYPE =
+      Pattern.compile(".*(Policy|Selector|Detector|Decider|Limiter|Tracker)\\.java");
+
+  private static final Pattern COMMENT_OR_TEXT =
+      Pattern.compile("(?s)/\\*.*?\\*/|//[^\\n]*|\"[^\"\\n]*\"");
+
+  /** A number other than 0 and 1. */
+  private static final Pattern NUMBER = Pattern.compile("\\b(?!(?:0|1)L?\\b(?!\\.))\\d[\\w.]*");
+
+  /** Half of the least value: a time before any clock time. */
+  private static final String SENTINEL = "Long.MIN_VALUE / 2";
+
   private static List<Path> policyFiles() throws IOException {
     String deployment = Files.readString(ROOT.resolve("deploy/balancer.toml"));
     String list =
@@ -61,4 +78,54 @@
   void firstFileIsTheEntryPoint() throws IOException {
     assertTrue(policyFiles().get(0).endsWith("DefaultRoutingPolicy.java"));
   }
+
+  @Test
+  void eachFileExistsAndItsTypeSaysWhatItDecides() throws IOException {
+    List<String> missing = new ArrayList<>();
+    for (Path file : policyFiles()) {
+      String type = file.getFileName().toString().replace(".java", "");
+      Pattern documentedType =
+          Pattern.compile("\\*/\\n(public )?(final class|enum|record|interface) " + type + "\\b");
+      if (!documentedType.matcher(Files.readString(file)).find()) {
+        missing.add(type);
+      }
+    }
+    assertEquals(List.of(), missing);
+  }
+
+  @Test
+  void typesThatDecideAreListed() throws IOException {
+    List<String> found = new ArrayList<>();
+    for (Path file : otherFiles()) {
+      if (DECIDING_TYPE.matcher(file.getFileName().toString()).matches()) {
+        found.add(file.getFileName().toString());
+      }
+    }
+    assertEquals(List.of(), found);
+  }
+
+  @Test
+  void otherFilesOfThePackageHoldNoTunedValue() throws IOException {
+    List<String> found = new ArrayList<>();
+    for (Path file : otherFiles()) {
+      String code = COMMENT_OR_TEXT.matcher(Files.readString(file)).replaceAll("");
+      NUMBER
+          .matcher(code.replace(SENTINEL, ""))
+          .results()
+          .forEach(number -> found.add(file.getFileName() + ": " + number.group()));
+    }
+    assertEquals(List.of(), found);
+  }
+
+  /** The files of the package that the list does not name. */
+  private static List<Path> otherFiles() throws IOException {
+    List<String> listed =
+        policyFiles().stream().map(file -> file.getFileName().toString()).toList();
+    try (Stream<Path> files = Files.list(PACKAGE)) {
+      List<Path> others =
+          files.filter(file -> !listed.contains(file.getFileName().toString())).sorted().toList();
+      assertFalse(others.isEmpty(), "no files in " + PACKAGE);
+      return others;
+    }
+  }
 }
