--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -1,6 +1,7 @@
 package rushwood.policy;
 
 import java.util.PriorityQueue;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.PolicyActions;
 
 /**
@@ -34,16 +35,16 @@
     requestTimer(deadline);
   }
 
-  /** Removes and returns the next unfinished request whose deadline has come, or null. */
-  PendingRequest pollExpired(long now) {
+  /** Removes and returns the next unfinished request whose deadline has come, if there is one. */
+  @Nullable PendingRequest pollExpired(long now) {
     return earliestDeadline() <= now ? entries.poll().pending() : null;
   }
 
   private long earliestDeadline() {
-    while (!entries.isEmpty() && entries.peek().pending().finished) {
+    while (!entries.isEmpty() && entries.peek().pending().isFinished()) {
       entries.poll();
     }
-    return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().deadline();
+    return entries.isEmpty() ? NO_TIMER : entries.peek().deadline();
   }
 
   /** Asks to be called at that time, unless an earlier call is due. */
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -22,17 +22,20 @@
  * settings, seed and calls give the same decisions.
  */
 public final class DefaultRoutingPolicy implements RoutingPolicy {
-  static final long CHECK_INTERVAL_NANOS = 100_000_000L; // of hosts and wait queues
+  /** Between two checks of all hosts and wait queues. */
+  static final long CHECK_INTERVAL_NANOS = 100_000_000L;
 
-  private static final double INITIAL_SERVICE_TIME_SHARE = 0.25; // of the objective; not measured
-  private static final double SERVICE_TIME_SMOOTHING = 0.02; // about the last fifty answers count
-  private static final long MIN_RESUBSCRIBE_DELAY_NANOS = 2 * CHECK_INTERVAL_NANOS;
-  private static final int RESUBSCRIBE_DIVISOR = 4; // of the refresh time: the longest delay
-
-  private final PolicyContext context;
-  private final PolicyComponents components;
-  private final RequestLifecycle requests;
+  private final long clockResolutionNanos;
+  private final HostTable hosts;
+  private final DeadlineQueue deadlineQueue;
+  private final EndpointPolicy endpointPolicy;
   private final EndpointSubscription subscription;
+  private final HealthCheckPolicy healthChecks;
+  private final LostAnswerDetector lostAnswers;
+  private final OutlierDetector outliers;
+  private final PrimaryTracker primaries;
+  private final WaitQueueDispatcher dispatcher;
+  private final RequestLifecycle lifecycle;
   private long nextCheckAt;
 
   /** Creates a policy without overload control. */
@@ -47,25 +50,27 @@
       RandomGenerator random,
       PolicyActions actions,
       OverloadSignals overloadSignals) {
-    ServiceTimes serviceTimes =
-        new ServiceTimes(
-            settings.requestClasses(), INITIAL_SERVICE_TIME_SHARE, SERVICE_TIME_SMOOTHING);
-    context = new PolicyContext(settings, random, actions, overloadSignals, serviceTimes);
-    components = new PolicyComponents(context);
-    requests = new RequestLifecycle(context, components);
-    long maxDelayNanos = settings.refreshWithinNanos() / RESUBSCRIBE_DIVISOR;
-    subscription = new EndpointSubscription(context, MIN_RESUBSCRIBE_DELAY_NANOS, maxDelayNanos);
+    clockResolutionNanos = settings.clockResolutionNanos();
+    PolicyComponents components = new PolicyComponents(settings, random, actions, overloadSignals);
+    hosts = components.hosts;
+    deadlineQueue = components.deadlineQueue;
+    endpointPolicy = components.endpointPolicy;
+    subscription = components.subscription;
+    healthChecks = components.healthChecks;
+    lostAnswers = components.lostAnswers;
+    outliers = components.outliers;
+    primaries = components.primaries;
+    dispatcher = components.dispatcher;
+    lifecycle = components.lifecycle;
   }
 
   @Override
   public void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache) {
-    if (context.settings().isRemovalBinding()) {
-      context.hosts().removeUnlisted(endpoints);
-    }
+    endpointPolicy.listReplaced(endpoints);
     endpointsUpdated(now, endpoints);
     if (fromCache) {
       nextCheckAt = now;
-      context.deadlineQueue().requestTimer(now + context.settings().clockResolutionNanos());
+      deadlineQueue.requestTimer(now + clockResolutionNanos);
       subscription.start();
     }
   }
@@ -73,26 +78,8 @@
   @Override
   public void endpointsUpdated(long now, List<Endpoint> changes) {
     subscription.updateReceived();
-    changes.forEach(this::update);
-    context.hosts().groups().forEach(group -> requests.dispatchWaiting(group, now));
-  }
-
-  /** A draining or removed host gets no new attempts from now on, even in its grace period. */
-  private void update(Endpoint endpoint) {
-    HostState host = context.hosts().getOrAdd(endpoint, components.limiter.initialLimit());
-    if (endpoint.state() == Endpoint.State.REMOVED && !context.settings().isRemovalBinding()) {
-      return; // Such a list does not prove which hosts are up: their health decides.
-    }
-    host.endpoint = endpoint;
-    if (endpoint.state() != Endpoint.State.READY) {
-      host.leaveGroup();
-      return;
-    }
-    context.hosts().group(endpoint.group()).add(host);
-    if (endpoint.startedAt() > host.slowStart.startedAt) {
-      host.reset(endpoint.startedAt());
-    }
-    components.primaries.endpointListed(host);
+    changes.forEach(endpointPolicy::endpointListed);
+    hosts.groups().forEach(group -> dispatcher.dispatch(group, now));
   }
 
   @Override
@@ -102,62 +89,76 @@
 
   @Override
   public void requestReceived(long now, Request request) {
-    requests.requestReceived(request, now);
+    healthChecks.requestReceived();
+    lifecycle.requestReceived(request, hosts.group(request.group()), now);
   }
 
+  /**
+   * {@inheritDoc}
+   *
+   * @throws IllegalArgumentException if this router has no such attempt
+   */
   @Override
   public void attemptFinished(long now, AttemptResult result) {
-    requests.attemptFinished(result, now);
+    lifecycle.attemptFinished(result, now);
   }
 
   @Override
   public void clientDisconnected(long now, RequestId request) {
-    requests.clientDisconnected(request);
+    lifecycle.clientDisconnected(request);
   }
 
   @Override
   public void shuttingDown(long now, long deadline) {
-    requests.shuttingDown(deadline);
+    lifecycle.shuttingDown(deadline);
   }
 
+  /**
+   * {@inheritDoc} No answer proves nothing: hosts turn health checks away when many routers ask.
+   *
+   * @throws IllegalArgumentException if this router knows no such host
+   */
   @Override
   public void healthCheckFinished(long now, HostId id, boolean answered, LoadReport report) {
-    HostState host = context.hosts().host(id);
-    host.health.healthCheckInFlight = false;
-    if (answered) { // No answer proves nothing: hosts turn checks away when many routers ask.
-      components.outliers.healthCheckAnswered(host, now);
+    HostState host = hosts.host(id);
+    healthChecks.healthCheckFinished(host);
+    if (answered) {
+      outliers.healthCheckAnswered(host, now);
     }
-    components.primaries.reportReceived(host, report, now);
-    requests.dispatchWaiting(host, now);
+    primaries.reportReceived(host, report, now);
+    dispatcher.dispatch(host, now);
   }
 
   @Override
   public void timerFired(long now) {
-    requests.endExpired(now);
+    lifecycle.endExpired(now);
     if (now >= nextCheckAt) {
       nextCheckAt = now + CHECK_INTERVAL_NANOS;
-      context.hosts().groups().forEach(group -> check(group, now));
-      context.hosts().forgetRemoved();
+      hosts.groups().forEach(group -> check(group, now));
+      hosts.forgetRemoved();
     }
     subscription.retryIfDue(now);
-    context.deadlineQueue().rearm(Math.min(nextCheckAt, subscription.retryAt()));
+    deadlineQueue.rearm(Math.min(nextCheckAt, subscription.retryAt()));
   }
 
-  /** Checks the hosts of a group, then what waits for them. */
+  /**
+   * Checks the hosts of a group, then what waits for them: reads may go to hosts again that they
+   * have avoided, and while no primary is known writes may look for it.
+   */
   private void check(GroupState group, long now) {
-    for (HostState host : group.members) {
+    for (HostState host : group.members()) {
       SlowStart.updateWorkRate(host);
-      components.lostAnswers.check(host, now);
-      components.outliers.check(host, now);
-      components.primaries.checkHealthIfPrimaryUnknown(host);
+      lostAnswers.check(host, now);
+      outliers.check(host, now);
+      primaries.checkHealthIfPrimaryUnknown(host);
     }
     for (PendingRequest pending : group.waitingRequests()) {
       if (!pending.isWrite()) {
-        pending.avoidedHosts.clear();
+        pending.forgetAvoidedHosts();
       } else if (!group.hasPrimary()) {
-        requests.process(pending, now);
+        lifecycle.process(pending, now);
       }
     }
-    requests.dispatchWaiting(group, now);
+    dispatcher.dispatch(group, now);
   }
 }
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -5,35 +5,42 @@
 import rushwood.api.HostRole;
 import rushwood.api.LoadReport;
 import rushwood.api.LogLevel;
+import rushwood.api.PolicyActions;
 
-/** Decides which member of a group counts as its primary, and where a write goes. */
-record PrimaryTracker(
-    PolicyContext context,
-    OutlierDetector outliers,
-    ConcurrencyLimiter limiter,
-    HealthCheckPolicy healthChecks) {
-  /** How long evidence of a role counts while no primary is known. */
-  private static final long ROLE_TTL_NANOS = 3 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
-
-  /** A host that refused a write is handing over; it is not taken for the primary for this long. */
+/**
+ * Decides which member of a group counts as its primary. The latest evidence of a host's role
+ * decides: what it claims with an answer or in a report, or that it refuses a write.
+ */
+final class PrimaryTracker {
+  /**
+   * A host that refused a write is handing over: for this long it does not become the primary,
+   * whatever it claims.
+   */
   private static final long HANDOVER_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
-  private static final int DISCOVERY_DIVISOR = 2; // half of all attempts may look for the primary
+  private final PolicyActions actions;
+  private final HealthCheckPolicy healthChecks;
+
+  PrimaryTracker(PolicyActions actions, HealthCheckPolicy healthChecks) {
+    this.actions = actions;
+    this.healthChecks = healthChecks;
+  }
 
   /** The endpoint list is seconds old: it only fills in where nothing better is known. */
   void endpointListed(HostState host) {
-    boolean isUnknown = !host.group.hasPrimary() && !host.replication.isRoleKnown();
-    if (host.endpoint.primary() && isUnknown) {
-      host.group.primary = host;
+    boolean isUnknown = !host.group().hasPrimary() && !host.replication.isRoleKnown();
+    if (host.endpoint().primary() && isUnknown) {
+      host.group().setPrimary(host);
     }
   }
 
+  /** Takes in what a result says of its host's role; a refused write shows that it is a replica. */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
     roleObserved(host, result.role(), now);
     reportReceived(host, result.report(), now);
     if (result.outcome() == AttemptOutcome.REPLICA_LAGGING && attempt.pending.isWrite()) {
-      host.replication.writeRefusedAt = now;
+      host.replication.writeRefused(now);
       roleObserved(host, HostRole.REPLICA, now);
     }
   }
@@ -46,67 +53,42 @@
     long position = (long) report.position();
     if (report.hasPosition() && position <= now) {
       host.replication.recordPosition(position, now);
-      if (position > host.replication.roleKnownAt) {
+      if (position > host.replication.roleKnownAt()) {
         roleObserved(host, report.role(), position);
       }
     }
   }
 
-  /** The latest evidence wins; an unresponsive host is no primary until it has answered a read. */
   private void roleObserved(HostState host, HostRole role, long evidenceAt) {
-    GroupState group = host.group;
-    boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt + HANDOVER_NANOS;
-    boolean isDoubtful = isHandingOver || host.isUnresponsive();
-    if (!host.hasGroup() || !role.isKnown() || (role == HostRole.PRIMARY && isDoubtful)) {
+    boolean isRefutedPrimary = role == HostRole.PRIMARY && !canBePrimary(host, evidenceAt);
+    if (!host.hasGroup() || !role.isKnown() || isRefutedPrimary) {
       return;
     }
     host.replication.recordRoleEvidence(evidenceAt);
-    boolean isLatest = !group.hasPrimary() || evidenceAt > group.primary.replication.roleKnownAt;
+    GroupState group = host.group();
     if (role == HostRole.REPLICA) {
       group.clearPrimary(host);
-    } else if (group.primary != host && isLatest) {
-      String change = "primary of group " + host.endpoint.group() + " is now host " + host.id;
-      context.actions().log(LogLevel.INFO, change);
-      group.primary = host;
-    }
-  }
-
-  /**
-   * Returns the host for a write, or null if it has to wait: the primary if it has a free slot. If
-   * none is known, one write at a time goes to a member of unknown role, the first in order of id.
-   */
-  HostState selectForWrite(PendingRequest pending, long now) {
-    GroupState group = pending.group;
-    if (group.hasPrimary() && outliers.isUsable(group.primary, now)) {
-      return limiter.hasFreeSlot(pending, group.primary, now) ? group.primary : null;
-    }
-    int maxAttempts = context.settings().maxAttempts() / DISCOVERY_DIVISOR;
-    if (group.primaryDiscovery != null
-        || pending.attempts.size() >= Math.min(group.members.size(), maxAttempts)) {
-      return null;
-    }
-    for (HostState host : group.members) {
-      boolean isUnknown = !host.isPrimary() && host.replication.roleKnownAt < now - ROLE_TTL_NANOS;
-      if (isUnknown && !pending.avoidedHosts.contains(host) && isFree(pending, host, now)) {
-        group.primaryDiscovery = pending;
-        return host;
-      }
+    } else if (!group.isPrimary(host) && isLatest(group, evidenceAt)) {
+      String change = "primary of group " + host.endpoint().group() + " is now host " + host.id;
+      actions.log(LogLevel.INFO, change);
+      group.setPrimary(host);
     }
-    return null;
   }
 
-  /** Whether a waiting write may go to that host. */
-  boolean acceptsWrite(PendingRequest pending, HostState host, long now) {
-    return host.isPrimary() && isFree(pending, host, now);
+  /** An unresponsive host is no primary until it has answered a read, nor is one handing over. */
+  private static boolean canBePrimary(HostState host, long evidenceAt) {
+    boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt() + HANDOVER_NANOS;
+    return !isHandingOver && !host.health.isUnresponsive();
   }
 
-  private boolean isFree(PendingRequest pending, HostState host, long now) {
-    return outliers.isUsable(host, now) && limiter.hasFreeSlot(pending, host, now);
+  private static boolean isLatest(GroupState group, long evidenceAt) {
+    HostState primary = group.primary();
+    return primary == null || evidenceAt > primary.replication.roleKnownAt();
   }
 
   /** Asks a member for its role while requests wait and no primary is known. */
   void checkHealthIfPrimaryUnknown(HostState host) {
-    if (host.group.needsPrimary() && !host.isUnreachable()) {
+    if (host.group().needsPrimary() && !host.health.isUnreachable()) {
       healthChecks.checkHealth(host);
     }
   }
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -1,126 +1,76 @@
 package rushwood.policy;
 
-import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
-import rushwood.api.PolicyActions;
 import rushwood.api.Request;
 import rushwood.api.RequestId;
 
 /**
  * Carries each request from its arrival to its final answer: through the wait queue, attempts and
- * their results, in the order that the components need. What happens at each step they decide.
+ * their results. What happens with it {@link RequestDecider} decides.
  */
 final class RequestLifecycle {
-  private final PolicyContext context;
-  private final PolicyComponents components;
-  private final PolicyActions actions;
-  private final RequestTable requests;
-  private final DeadlineQueue deadlineQueue;
-
-  RequestLifecycle(PolicyContext context, PolicyComponents components) {
-    this.context = context;
-    this.components = components;
-    actions = context.actions();
-    requests = context.requests();
-    deadlineQueue = context.deadlineQueue();
+  private final PendingRequests requests;
+  private final RequestExpiry expiry;
+  private final RequestDecider decider;
+  private final AttemptSender sender;
+  private final AttemptResultRecorder resultRecorder;
+  private final WaitQueueDispatcher dispatcher;
+  private final FinalAnswers finalAnswers;
+
+  RequestLifecycle(
+      PendingRequests requests,
+      RequestExpiry expiry,
+      RequestDecider decider,
+      AttemptSender sender,
+      AttemptResultRecorder resultRecorder,
+      WaitQueueDispatcher dispatcher,
+      FinalAnswers finalAnswers) {
+    this.requests = requests;
+    this.expiry = expiry;
+    this.decider = decider;
+    this.sender = sender;
+    this.resultRecorder = resultRecorder;
+    this.dispatcher = dispatcher;
+    this.finalAnswers = finalAnswers;
   }
 
-  void requestReceived(Request request, long now) {
-    GroupState group = context.hosts().group(request.group());
+  void requestReceived(Request request, GroupState group, long now) {
     PendingRequest pending = requests.add(request, group, now);
-    components.healthChecks.requestReceived();
-    addDeadline(pending);
+    expiry.add(pending);
     process(pending, now);
   }
 
-  private void addDeadline(PendingRequest pending) {
-    deadlineQueue.add(components.deadlines.answerDeadline(pending), pending);
-  }
-
-  /** Sends the request to a host if one can take it, else lets it wait, or ends it. */
+  /** Decides what happens with a request that has no attempt in flight, and does it. */
   void process(PendingRequest pending, long now) {
-    if (isExpired(pending, now) || !components.retries.canAttempt(pending, now)) {
-      rejectOrFail(pending, now);
-      return;
-    }
-    components.freshness.updateRequiredPosition(pending, now);
-    HostState host =
-        pending.isWrite()
-            ? components.primaries.selectForWrite(pending, now)
-            : components.replicas.selectForRead(pending, now);
-    if (host == null) {
-      pending.enqueue();
-    } else {
-      send(pending, host, now);
-    }
-  }
-
-  private boolean isExpired(PendingRequest pending, long now) {
-    return now >= components.deadlines.answerDeadline(pending);
-  }
-
-  private void send(PendingRequest pending, HostState host, long now) {
-    pending.dequeue();
-    components.healthChecks.attemptSent(host, now);
-    boolean isCostlyRetry = pending.isRetryCostly();
-    context.overloadSignals().attemptSent(now, pending.request.group(), isCostlyRetry);
-    long timeoutNanos = components.deadlines.attemptTimeoutNanos(pending, now);
-    long startWithinNanos = Math.min(timeoutNanos, RetryPolicy.retryDeadline(pending) - now);
-    boolean isControl = components.lostAnswers.drawControlSample();
-    Attempt attempt = new Attempt(pending, host, now, isControl);
-    pending.attempts.add(attempt);
-    host.inFlight.add(attempt);
-    host.slowStart.tokens.take(context.serviceTimes().expected(pending));
-    actions.send(pending.request.id(), host.id, timeoutNanos, startWithinNanos);
-  }
-
-  /** Gives the free slots of all members, in order of id, to waiting requests. */
-  void dispatchWaiting(GroupState group, long now) {
-    group.members.forEach(host -> dispatchWaiting(host, now));
+    carryOut(decider.decide(pending, now), pending, now);
   }
 
-  /** Gives a host's free slots to waiting requests, first attempts before retries. */
-  void dispatchWaiting(HostState host, long now) {
-    if (host.hasGroup()) {
-      dispatch(host.group.firstAttempts, host, now);
-      dispatch(host.group.retries, host, now);
-    }
-  }
-
-  private void dispatch(WaitQueue queue, HostState host, long now) {
-    PendingRequest next = components.queue.next(queue, host, now);
-    while (next != null) {
-      send(next, host, now);
-      next = components.queue.next(queue, host, now);
+  private void carryOut(Decision decision, PendingRequest pending, long now) {
+    if (decision instanceof Decision.Send send) {
+      sender.send(pending, send.host(), now);
+    } else if (decision instanceof Decision.Wait) {
+      pending.enqueue();
+    } else if (decision instanceof Decision.Reject) {
+      finalAnswers.reject(pending, now);
+    } else if (decision instanceof Decision.Fail) {
+      finalAnswers.fail(pending);
     }
   }
 
   /**
-   * Takes in the result of an attempt. While the components learn from it the attempt still counts
-   * as in flight; after that its slot and its request go on.
+   * Takes in the result of an attempt; after that its slot and its request go on.
    *
    * @throws IllegalArgumentException if this router has no such attempt
    */
   void attemptFinished(AttemptResult result, long now) {
     Attempt attempt = requests.attempt(result);
     PendingRequest pending = attempt.pending;
-    if (result.outcome() == AttemptOutcome.SUCCESS) {
-      context.serviceTimes().record(pending, result.durationNanos());
-      attempt.host.slowStart.recordCompletedWork(context.serviceTimes().expected(pending));
-      components.lostAnswers.answerReceived(attempt, now);
-    }
-    components.limiter.attemptFinished(attempt, result, now);
-    components.outliers.attemptFinished(attempt, result, now);
-    attempt.host.inFlight.remove(attempt);
-    pending.group.endPrimaryDiscovery(pending);
-    components.freshness.attemptFinished(attempt, result, now);
-    components.primaries.attemptFinished(attempt, result, now);
-    RetryPolicy.attemptFinished(attempt, result.outcome());
-    if (result.requestFinished() && !pending.finished) {
+    resultRecorder.record(attempt, result, now);
+    if (result.requestFinished() && !pending.isFinished()) {
       pending.finish();
     }
-    dispatchWaiting(attempt.host, now);
-    if (!pending.finished && !pending.queued && !pending.hasAttemptInFlight()) {
+    dispatcher.dispatch(attempt.host, now);
+    if (!pending.isFinished() && !pending.isQueued() && !pending.hasAttemptInFlight()) {
       process(pending, now);
     }
     requests.forgetIfDone(pending);
@@ -128,43 +78,23 @@
 
   /** Ends a request whose client is gone: no answer is owed. */
   void clientDisconnected(RequestId request) {
-    PendingRequest pending = requests.get(request);
-    if (pending != null && !pending.finished) {
-      requests.finish(pending);
-      requests.forgetIfDone(pending);
+    PendingRequest pending = requests.find(request);
+    if (pending != null && !pending.isFinished()) {
+      finalAnswers.clientDisconnected(pending);
     }
   }
 
-  /** Gives the final answer. */
-  private void rejectOrFail(PendingRequest pending, long now) {
-    requests.finish(pending);
-    if (RetryPolicy.isRepeatable(pending)) {
-      actions.reject(pending.request.id(), components.retries.retryAfter(pending, now));
-    } else {
-      actions.fail(pending.request.id());
-    }
-    requests.forgetIfDone(pending);
-  }
-
   /** Every request is answered before that time. */
   void shuttingDown(long deadline) {
-    components.deadlines.shutDownAt(deadline);
-    requests.all().forEach(this::addDeadline);
+    expiry.shuttingDown(deadline, requests.all());
   }
 
-  /**
-   * Ends requests whose deadline has come. Where a request's answer deadline has moved since it was
-   * queued, as it does with the first attempt, the request is queued anew.
-   */
+  /** Ends the requests whose answer deadline has come. */
   void endExpired(long now) {
-    PendingRequest pending = deadlineQueue.pollExpired(now);
+    PendingRequest pending = expiry.pollExpired(now);
     while (pending != null) {
-      if (isExpired(pending, now)) {
-        rejectOrFail(pending, now);
-      } else {
-        addDeadline(pending);
-      }
-      pending = deadlineQueue.pollExpired(now);
+      carryOut(RequestDecider.end(pending, EndReason.EXPIRED), pending, now);
+      pending = expiry.pollExpired(now);
     }
   }
 }
