--- /dev/null
+++ b/router/src/main/java/rushwood/overload/OverloadControlSignals.java
@@ -0,0 +1,50 @@
+package rushwood.overload;
+
+import rushwood.api.GroupId;
+import rushwood.api.HostId;
+import rushwood.api.OverloadSignals;
+import rushwood.api.Request;
+
+/** Answers the routing policy's questions, and records what the policy says with them. */
+final class OverloadControlSignals implements OverloadSignals {
+  private final OverloadStatistics statistics;
+  private final RetryAfterAdvisor retryAfterAdvisor;
+  private final ConnectBackoff connectBackoff;
+  private final OverloadCounts counts;
+
+  OverloadControlSignals(
+      OverloadStatistics statistics,
+      RetryAfterAdvisor retryAfterAdvisor,
+      ConnectBackoff connectBackoff,
+      OverloadCounts counts) {
+    this.statistics = statistics;
+    this.retryAfterAdvisor = retryAfterAdvisor;
+    this.connectBackoff = connectBackoff;
+    this.counts = counts;
+  }
+
+  @Override
+  public long retryAfterNanos(long now, Request request, boolean othersWaiting) {
+    statistics.recordRejected(request.group());
+    return retryAfterAdvisor.adviseRejected(now, request, othersWaiting);
+  }
+
+  @Override
+  public boolean canRetry(long now, GroupId group) {
+    boolean isAllowed = statistics.isRetryAllowed(now, group);
+    if (!isAllowed) {
+      counts.addRetryDenied();
+    }
+    return isAllowed;
+  }
+
+  @Override
+  public void attemptSent(long now, GroupId group, boolean retry) {
+    statistics.recordAttempt(now, group, retry);
+  }
+
+  @Override
+  public boolean canConnect(long now, HostId host) {
+    return connectBackoff.isAttemptAllowed(host, now);
+  }
+}
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -7,7 +7,6 @@
 import rushwood.api.GroupId;
 import rushwood.api.HostId;
 import rushwood.api.LoadReport;
-import rushwood.api.LogLevel;
 import rushwood.api.OverloadSignals;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
@@ -24,24 +23,20 @@
  * the operator wants it, a write is failed instead of passed on while an earlier one of the same
  * fingerprint may still be executed.
  */
-public final class OverloadController implements RoutingPolicy, OverloadSignals {
-  // 128 KiB in all; at 5,000 unanswered requests a span 0.7% of the others pass for repeats.
-  private static final int SKETCH_CELLS_PER_ROW = 1 << 14;
-
+public final class OverloadController implements RoutingPolicy {
   private final RoutingSettings settings;
-  private final OverloadSettings overloadSettings;
   private final ConnectBackoff connectBackoff;
   private final PolicyActions actions;
-  private final OverloadSignals defaultSignals;
   private final OverloadCounts counts = new OverloadCounts();
   private final OverloadStatistics statistics;
-  private final RetryAfterAdvisor retryAfterAdvisor;
-  private final RepeatSketch unansweredSketch;
+  private final RepeatDetector repeatDetector;
   private final AmbiguousWrites ambiguousWrites;
-  private final TrackedRequests trackedRequests = new TrackedRequests();
+  private final RequestTracker requestTracker;
+  private final RetryAfterAdvisor retryAfterAdvisor;
+  private final OverloadSignals signals;
+  private final ObservedActions observedActions;
   private final RoutingPolicy policy;
-  private long nextTickAt = Long.MIN_VALUE;
-  private long lastEventAt;
+  private long nextTickAt = Times.LONG_AGO;
 
   /**
    * Creates the controller and the policy behind it.
@@ -59,26 +54,36 @@
       PolicyActions actions,
       BiFunction<OverloadSignals, PolicyActions, RoutingPolicy> policyFactory) {
     this.settings = settings;
-    this.overloadSettings = overloadSettings;
     this.connectBackoff = connectBackoff;
     this.actions = actions;
-    defaultSignals = OverloadSignals.withoutOverloadControl(settings);
     statistics = new OverloadStatistics(overloadSettings, counts, actions::log);
-    retryAfterAdvisor =
-        new RetryAfterAdvisor(settings, counts, overloadSettings.retryAfterSchedule());
-    unansweredSketch = new RepeatSketch(SKETCH_CELLS_PER_ROW, longestRepeatDelay(settings));
+    repeatDetector = new RepeatDetector(settings, statistics, counts);
     ambiguousWrites = new AmbiguousWrites(overloadSettings.failAmbiguousWrites());
-    policy = policyFactory.apply(this, new ObservedActions());
+    requestTracker = new RequestTracker(repeatDetector, ambiguousWrites);
+    retryAfterAdvisor =
+        new RetryAfterAdvisor(
+            settings, overloadSettings.retryAfterSchedule(), statistics, requestTracker, counts);
+    signals = new OverloadControlSignals(statistics, retryAfterAdvisor, connectBackoff, counts);
+    observedActions = new ObservedActions(actions, requestTracker);
+    policy = policyFactory.apply(signals, observedActions);
   }
 
-  /** How long after the end of a request without an answer its client may repeat it. */
-  private static long longestRepeatDelay(RoutingSettings settings) {
-    long longest =
-        settings.requestClasses().stream()
-            .mapToLong(each -> 2 * each.latencyObjectiveNanos())
-            .max()
-            .orElse(1);
-    return longest + settings.maxRetryAfterNanos();
+  /** Counts since the start; they go on counting. */
+  public OverloadCounts counts() {
+    return counts;
+  }
+
+  /**
+   * The wait in nanoseconds to tell a client whose connection is refused, 0 for none. No request is
+   * known yet, so the reservation belongs to no group.
+   */
+  public long retryAfterForRefusedConnection(long now) {
+    return retryAfterAdvisor.adviseRefusedConnection(now);
+  }
+
+  /** The signals that the policy asks for. */
+  OverloadSignals signals() {
+    return signals;
   }
 
   /** The state of the whole router. */
@@ -91,17 +96,10 @@
     return statistics.groupState(group);
   }
 
-  /** Counts since the start; they go on counting. */
-  public OverloadCounts counts() {
-    return counts;
-  }
-
   int trackedRequestCount() {
-    return trackedRequests.size();
+    return requestTracker.size();
   }
 
-  // Events for the routing policy.
-
   @Override
   public void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache) {
     if (settings.isRemovalBinding()) {
@@ -135,49 +133,34 @@
 
   @Override
   public void requestReceived(long now, Request request) {
-    tickIfDue(now);
-    // The sketch also takes requests of other clients with the same fingerprint for repeats, so
-    // only as many count as repeats as requests of the group ended without an answer.
-    boolean mayBeRepeat = wasUnanswered(now, request);
-    long advisedWait =
-        mayBeRepeat ? retryAfterAdvisor.takeAdvisedWait(request.fingerprint(), now) : 0;
-    boolean isRepeat = mayBeRepeat && statistics.takeUnanswered(request.group());
-    if (isRepeat) {
-      counts.addRepeatedRequest();
-    }
+    startEvent(now);
+    boolean isPossibleRepeat = repeatDetector.isPossibleRepeat(now, request);
+    long advisedWaitNanos =
+        isPossibleRepeat ? retryAfterAdvisor.takeAdvisedWait(request.fingerprint(), now) : 0;
+    boolean isRepeat = isPossibleRepeat && repeatDetector.takeRepeat(request);
     statistics.recordArrival(request.group(), isRepeat);
     if (ambiguousWrites.hasEarlierWrite(now, request)) {
       counts.addAmbiguousWriteFailed();
       actions.fail(request.id());
       return;
     }
-    trackedRequests.add(request);
-    policy.requestReceived(now, advisedWait > 0 ? request.afterWaiting(advisedWait) : request);
-  }
-
-  private boolean wasUnanswered(long now, Request request) {
-    return request.hasFingerprint() && unansweredSketch.count(request.fingerprint(), now) > 0;
+    requestTracker.requestReceived(request);
+    policy.requestReceived(
+        now, advisedWaitNanos > 0 ? request.afterWaiting(advisedWaitNanos) : request);
   }
 
   @Override
   public void attemptFinished(long now, AttemptResult result) {
-    tickIfDue(now);
+    startEvent(now);
     statistics.recordOutcome(result);
-    TrackedRequest tracked = trackedRequests.get(result.request());
-    if (tracked != null) {
-      tracked.attemptFinished(result.outcome());
-      if (result.requestFinished() && !tracked.isFinished()) {
-        trackedRequests.succeed(tracked);
-      }
-      releaseIfSettled(now, tracked);
-    }
+    requestTracker.attemptFinished(now, result);
     policy.attemptFinished(now, result);
   }
 
   @Override
   public void clientDisconnected(long now, RequestId requestId) {
-    tickIfDue(now);
-    recordUnanswered(now, requestId);
+    startEvent(now);
+    requestTracker.requestUnanswered(now, requestId);
     policy.clientDisconnected(now, requestId);
   }
 
@@ -193,142 +176,19 @@
 
   @Override
   public void timerFired(long now) {
-    tickIfDue(now);
+    startEvent(now);
     policy.timerFired(now);
   }
 
-  private void tickIfDue(long now) {
-    lastEventAt = now;
+  /** Ends a tick before the event if one is due. */
+  private void startEvent(long now) {
+    observedActions.eventStarted(now);
     if (now < nextTickAt) {
       return;
     }
     nextTickAt = now + OverloadDetector.TICK_NANOS;
-    trackedRequests.removeOverdue(now);
+    requestTracker.removeOverdue(now);
     statistics.tick();
-    retryAfterAdvisor.setExpectedRate(statistics.expectedRate());
-  }
-
-  /** A request ends without an answer, unless it has ended already: its client may repeat it. */
-  private void recordUnanswered(long now, RequestId requestId) {
-    TrackedRequest tracked = trackedRequests.get(requestId);
-    if (tracked == null || tracked.isFinished()) {
-      return;
-    }
-    trackedRequests.endUnanswered(tracked);
-    Request request = tracked.request();
-    if (request.hasFingerprint()) {
-      unansweredSketch.add(request.fingerprint(), now);
-      statistics.recordUnanswered(request.group());
-      if (tracked.isPossiblyExecuted()) {
-        ambiguousWrites.add(now, tracked);
-      }
-    }
-    releaseIfSettled(now, tracked);
-  }
-
-  private void releaseIfSettled(long now, TrackedRequest tracked) {
-    if (!tracked.isSettled()) {
-      return;
-    }
-    trackedRequests.remove(tracked);
-    if (!tracked.isPossiblyExecuted()) {
-      ambiguousWrites.resolve(now, tracked);
-    }
-  }
-
-  // Signals that the routing policy asks for.
-
-  @Override
-  public long retryAfterNanos(long now, Request request, boolean othersWaiting) {
-    statistics.recordRejected(request.group());
-    if (!overloadSettings.retryAfterSchedule()) {
-      return defaultSignals.retryAfterNanos(now, request, othersWaiting);
-    }
-    boolean isNormal = state(request.group()) == OverloadState.NORMAL;
-    if (!settings.canSendRetryAfter() || (!othersWaiting && isNormal)) {
-      return 0;
-    }
-    return retryAfterAdvisor.reserve(now, request, trackedRequests.waiting());
-  }
-
-  /**
-   * The wait in nanoseconds to tell a client whose connection is refused, 0 for none. No request is
-   * known yet, so the reservation belongs to no group.
-   */
-  public long retryAfterForRefusedConnection(long now) {
-    if (!settings.canSendRetryAfter()) {
-      return 0;
-    }
-    return overloadSettings.retryAfterSchedule()
-        ? retryAfterAdvisor.reserveForConnection(now, trackedRequests.waiting())
-        : settings.maxRetryAfterNanos();
-  }
-
-  @Override
-  public boolean canRetry(long now, GroupId group) {
-    boolean allowed = statistics.isRetryAllowed(now, group);
-    if (!allowed) {
-      counts.addRetryDenied();
-    }
-    return allowed;
-  }
-
-  @Override
-  public void attemptSent(long now, GroupId group, boolean retry) {
-    statistics.recordAttempt(now, group, retry);
-  }
-
-  @Override
-  public boolean canConnect(long now, HostId host) {
-    return connectBackoff.isAttemptAllowed(host, now);
-  }
-
-  /** Passes the policy's actions on, and records attempts and requests that end unanswered. */
-  private final class ObservedActions implements PolicyActions {
-    @Override
-    public void send(RequestId requestId, HostId host, long timeoutNanos, long startWithinNanos) {
-      TrackedRequest tracked = trackedRequests.get(requestId);
-      if (tracked != null) {
-        tracked.attemptSent();
-      }
-      actions.send(requestId, host, timeoutNanos, startWithinNanos);
-    }
-
-    @Override
-    public void cancel(RequestId requestId, int attemptNumber) {
-      actions.cancel(requestId, attemptNumber);
-    }
-
-    @Override
-    public void reject(RequestId requestId, long retryAfterNanos) {
-      recordUnanswered(lastEventAt, requestId);
-      actions.reject(requestId, retryAfterNanos);
-    }
-
-    @Override
-    public void fail(RequestId requestId) {
-      recordUnanswered(lastEventAt, requestId);
-      actions.fail(requestId);
-    }
-
-    @Override
-    public void checkHealth(HostId host) {
-      actions.checkHealth(host);
-    }
-
-    @Override
-    public void wakeAt(long time) {
-      actions.wakeAt(time);
-    }
-
-    @Override
-    public void subscribeToEndpoints() {
-      actions.subscribeToEndpoints();
-    }
-
-    @Override
-    public void log(LogLevel level, String line) {
-      actions.log(level, line);
-    }
+    retryAfterAdvisor.updateExpectedRate();
   }
 }
--- a/router/src/main/java/rushwood/overload/package-info.java
+++ b/router/src/main/java/rushwood/overload/package-info.java
@@ -12,4 +12,7 @@
  * nanoseconds on a clock that never goes back, and a seeded random generator. No class is
  * thread-safe; all belong to the event loop that calls them.
  */
+@NullMarked
 package rushwood.overload;
+
+import org.jspecify.annotations.NullMarked;
--- a/router/src/test/java/rushwood/overload/OverloadControllerTest.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.GroupId;
+import rushwood.api.OverloadSignals;
 
 /** The overload controller in front of the default routing policy. */
 class OverloadControllerTest {
@@ -82,12 +83,13 @@
     assertEquals(
         OverloadState.OVERLOADED, controller.state(overloaded), fixture.recorded().toString());
     assertEquals(OverloadState.NORMAL, controller.state(unaffected));
-    assertTrue(controller.canRetry(fixture.now(), unaffected));
+    OverloadSignals signals = controller.signals();
+    assertTrue(signals.canRetry(fixture.now(), unaffected));
     for (int i = 0; i < 100; i++) {
-      controller.attemptSent(fixture.now(), overloaded, true);
+      signals.attemptSent(fixture.now(), overloaded, true);
     }
-    assertFalse(controller.canRetry(fixture.now(), overloaded));
-    assertTrue(controller.canRetry(fixture.now(), unaffected));
+    assertFalse(signals.canRetry(fixture.now(), overloaded));
+    assertTrue(signals.canRetry(fixture.now(), unaffected));
   }
 
   /** Many clients read one key, and a few of them get no answer. */
