--- a/router/src/main/java/rushwood/net/ConnectionRegistry.java
+++ b/router/src/main/java/rushwood/net/ConnectionRegistry.java
@@ -39,12 +39,14 @@
     return (long) issuedCancelKeys << Integer.SIZE | secret;
   }
 
-  /** Adds a new connection, whose client has sent nothing yet. */
-  AdmittedConnection add(FrontendConnection connection, long now) {
+  /**
+   * Adds a new connection, whose client has sent nothing yet; what it does is reported from now on.
+   */
+  AdmissionReporter add(FrontendConnection connection, long now) {
     connections.add(connection);
     connectionsByCancelKey.put(connection.cancelKey(), connection);
     descriptorBudget.setOpenClients(connections.size());
-    return admission.admit(connection, now);
+    return new AdmissionReporter(admission, admission.admit(connection, now));
   }
 
   /** Returns whether the connection was open until now. */
--- a/router/src/main/java/rushwood/net/FrontendConnection.java
+++ b/router/src/main/java/rushwood/net/FrontendConnection.java
@@ -3,12 +3,9 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
-import rushwood.api.RequestId;
 import rushwood.dispatch.Counter;
 import rushwood.dispatch.Counters;
 import rushwood.dispatch.EventLoopClock;
-import rushwood.overload.AdmittedConnection;
-import rushwood.overload.ConnectionState;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.FrontendCallbacks;
 import rushwood.protocol.FrontendProtocol;
@@ -16,68 +13,54 @@
 import rushwood.protocol.ProtocolException;
 import rushwood.protocol.SqlState;
 import rushwood.protocol.SqlStatement;
-import rushwood.protocol.SqlStatementParser;
 
 /**
- * The connection of a client: reads and writes for a {@link FrontendProtocol}, and limits what the
- * client may send ahead of its answers and how long it may take over a message. Created on the
- * event loop of its channel and used on no other thread.
+ * The connection of a client: the channel handler that reads and writes for a {@link
+ * FrontendProtocol}. An {@link InputLimit} and a {@link ClientTimeout} limit what the client may
+ * send and how long it may take, its statements go through a {@link RequestSubmitter}, and an
+ * {@link AdmissionReporter} reports what the connection does. Created on the event loop of its
+ * channel and used on no other thread.
  */
 final class FrontendConnection extends LingeringClose implements FrontendCallbacks {
-  // What a client may send ahead of its answers: eight statements of the maximum length. It is read
-  // even while nothing of it can be processed, since the end of the connection comes after it and
-  // has to be noticed. The excess is dropped, and the connection is closed with an error after the
-  // answer that is due. The cost: clients that pipeline more than that lose their connection.
-  private static final int MAX_PIPELINED_BYTES = 1 << 20;
-  private static final int MAX_PIPELINED_BYTES_LOW_MEMORY = 64 << 10;
-
-  // For the rest of a message, or for the client to read its answers. The platform expects an end
-  // within 3 s.
-  private static final long MESSAGE_TIMEOUT_NANOS = 2_400_000_000L;
-
   private static final ErrorResponse TOO_MANY_REJECTIONS =
       ErrorResponse.fatal(SqlState.PROTOCOL_VIOLATION, "too many statements that cannot be taken");
-  private static final ErrorResponse TOO_MUCH_PIPELINED =
-      ErrorResponse.fatal(
-          SqlState.TOO_MANY_CONNECTIONS, "too much was written ahead of its answers");
-  private static final ErrorResponse OUT_OF_MEMORY =
-      ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "memory is short");
   private static final ErrorResponse MESSAGE_TIMED_OUT =
       ErrorResponse.fatal(SqlState.PROTOCOL_VIOLATION, "the message did not come in time");
 
-  private final ConnectionContext shared;
   private final EventLoopClock clock;
   private final Counters counters;
+  private final ConnectionRegistry registry;
+  private final LingeringConnections lingeringConnections;
+  private final RequestSubmitter submitter;
+  private final InputLimit inputLimit;
+  private final ClientTimeout timeout;
   private final FrontendProtocol protocol;
-  private final RejectionThrottle rejections;
   private final long cancelKey;
-  private final AdmittedConnection admitted;
-  private RequestId lastRequestId; // null before the first request
-  private int lastRequestBytes;
-  private int countedBytes; // what this connection has added to the statement memory
-  private long lastActivity; // when the last bytes were read or written
-  private long incompleteSince; // when the bytes began that make no whole message yet
-  private boolean retryAfterSent; // as the answer to the last request
-  private boolean pipelinedTooMuch; // input is dropped, and the connection will be closed
+  private final AdmissionReporter admissionReporter;
   private boolean resumeScheduled;
-  private boolean startedUp;
-  private boolean answered; // something was sent after the startup response
 
-  FrontendConnection(Channel channel, ConnectionContext shared) {
+  /** With parts of its own ({@code submitter}, {@code inputLimit}), and those shared by all. */
+  FrontendConnection(
+      Channel channel,
+      EventLoopClock clock,
+      Counters counters,
+      ConnectionRegistry registry,
+      LingeringConnections lingeringConnections,
+      RequestSubmitter submitter,
+      InputLimit inputLimit) {
     super(channel);
-    this.shared = shared;
-    clock = shared.clock();
-    counters = shared.counters();
-    cancelKey = shared.registry().nextCancelKey();
-    lastActivity = clock.now();
-    incompleteSince = lastActivity;
+    this.clock = clock;
+    this.counters = counters;
+    this.registry = registry;
+    this.lingeringConnections = lingeringConnections;
+    this.submitter = submitter;
+    this.inputLimit = inputLimit;
+    cancelKey = registry.nextCancelKey();
+    timeout = new ClientTimeout(clock.now());
     protocol = new FrontendProtocol(channel.alloc(), this);
-    rejections = new RejectionThrottle(clock, shared.timers());
-    admitted = shared.registry().add(this, lastActivity);
+    admissionReporter = registry.add(this, clock.now());
   }
 
-  // ---- input
-
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     ByteBuf in = (ByteBuf) message;
@@ -85,34 +68,22 @@
       discard(in);
       return;
     }
-    lastActivity = clock.now();
-    if (!protocol.hasIncompleteMessage()) {
-      incompleteSince = lastActivity;
-    }
-    pipelinedTooMuch |= exceedsPipelineLimit(protocol.unreadBytes() + in.readableBytes());
-    if (pipelinedTooMuch) {
+    timeout.bytesRead(clock.now(), protocol.hasIncompleteMessage());
+    boolean mustWait = protocol.hasPendingRequest() || isProcessingPaused();
+    inputLimit.inputReceived(protocol.unreadBytes() + in.readableBytes(), mustWait);
+    if (inputLimit.isExceeded()) {
       in.release();
       return;
     }
     protocol.buffer(in);
-    updateStatementMemory();
-    updateAdmissionState();
+    updateHeldBytes();
+    reportState();
     resumeLater();
   }
 
-  private boolean exceedsPipelineLimit(int unreadBytes) {
-    boolean mustWait = protocol.hasPendingRequest() || isProcessingPaused();
-    if (mustWait && unreadBytes > MAX_PIPELINED_BYTES) {
-      return true;
-    }
-    StatementMemory memory = shared.statementMemory();
-    boolean isMemoryShort = mustWait ? memory.isLow() : memory.isExhausted();
-    return isMemoryShort && unreadBytes > MAX_PIPELINED_BYTES_LOW_MEMORY;
-  }
-
   /** Whether the client is slowed down, or has to read its answers first. */
   private boolean isProcessingPaused() {
-    return rejections.isPaused() || !channel.isWritable();
+    return submitter.isPaused() || !channel.isWritable();
   }
 
   /**
@@ -138,46 +109,39 @@
     if (isLingering() || !channel.isOpen() || isProcessingPaused()) {
       return;
     }
-    if (rejections.isExceeded()) {
+    if (submitter.hasTooManyRejections()) {
       protocol.closeWithError(TOO_MANY_REJECTIONS);
       return;
     }
     protocol.resume();
-    updateStatementMemory();
-    enforceMemoryLimits();
-    updateAdmissionState();
+    updateHeldBytes();
+    enforceInputLimit();
+    reportState();
   }
 
-  /** A pending request is never refused for want of memory, only what is incomplete. */
-  private void enforceMemoryLimits() {
-    if (pipelinedTooMuch && !protocol.hasPendingRequest() && !isLingering()) {
-      refuse(TOO_MUCH_PIPELINED);
-    } else if (shared.statementMemory().isExhausted()
-        && protocol.unreadBytes() > MAX_PIPELINED_BYTES_LOW_MEMORY
-        && protocol.hasIncompleteMessage()
-        && !isLingering()) {
-      refuse(OUT_OF_MEMORY);
+  private void enforceInputLimit() {
+    ErrorResponse violation = isLingering() ? null : inputLimit.violation(protocol);
+    if (violation != null) {
+      counters.increment(Counter.CLIENTS_REFUSED);
+      protocol.closeWithError(violation);
     }
   }
 
-  private void refuse(ErrorResponse reason) {
-    counters.increment(Counter.CLIENTS_REFUSED);
-    protocol.closeWithError(reason);
-  }
-
   /** Counts what is held for this client: unread input, and the pending request. */
-  private void updateStatementMemory() {
-    int heldBytes = isOpen() ? protocol.unreadBytes() + pendingRequestBytes() : 0;
-    shared.statementMemory().adjust(heldBytes - countedBytes);
-    countedBytes = heldBytes;
+  private void updateHeldBytes() {
+    inputLimit.setHeldBytes(isOpen() ? protocol.unreadBytes() + pendingRequestBytes() : 0);
   }
 
   private boolean isOpen() {
-    return !isLingering() && shared.registry().contains(this);
+    return !isLingering() && registry.contains(this);
   }
 
   private int pendingRequestBytes() {
-    return protocol.hasPendingRequest() ? lastRequestBytes : 0;
+    return protocol.hasPendingRequest() ? submitter.lastRequestBytes() : 0;
+  }
+
+  private void reportState() {
+    admissionReporter.report(protocol.isIdle(), clock.now());
   }
 
   /**
@@ -191,75 +155,26 @@
 
   /** Closes the connection if the client takes too long to read, or to complete a message. */
   void checkTimeouts() {
-    long oldest = clock.now() - MESSAGE_TIMEOUT_NANOS;
-    if (!channel.isWritable() && lastActivity <= oldest) {
-      channel.close();
-    } else if (protocol.hasIncompleteMessage() && incompleteSince <= oldest) {
-      counters.increment(Counter.CLIENTS_TIMED_OUT);
-      protocol.closeWithError(MESSAGE_TIMED_OUT);
-    }
-  }
-
-  // ---- admission
-
-  private void updateAdmissionState() {
-    shared.admission().setState(admitted, admissionState(), clock.now());
-  }
-
-  private ConnectionState admissionState() {
-    if (!protocol.isIdle()) {
-      return ConnectionState.BUSY;
-    }
-    if (!answered) {
-      return ConnectionState.NEW;
-    }
-    return retryAfterSent ? ConnectionState.AWAITING_RETRY : ConnectionState.IDLE;
-  }
-
-  /** Closes the connection to make room for another. */
-  void evict() {
-    counters.increment(Counter.CLIENTS_EVICTED);
-    if (!answered) {
-      counters.increment(Counter.CLIENTS_EVICTED_UNANSWERED);
+    switch (timeout.check(clock.now(), channel.isWritable(), protocol.hasIncompleteMessage())) {
+      case UNREAD_ANSWER -> channel.close();
+      case INCOMPLETE_MESSAGE -> {
+        counters.increment(Counter.CLIENTS_TIMED_OUT);
+        protocol.closeWithError(MESSAGE_TIMED_OUT);
+      }
+      case NONE -> {}
     }
-    close();
   }
 
-  // ---- requests
-
   @Override
   public boolean isReady() {
-    return shared.dispatcher().hasEndpoints();
+    return submitter.isReady();
   }
 
   @Override
   public void submit(ByteBuf text) throws ProtocolException {
-    SqlStatement statement = SqlStatementParser.parse(text, shared.requestClasses());
-    try {
-      checkAcceptable(statement);
-    } catch (ProtocolException rejection) {
-      statement.release();
-      throw rejection;
-    }
-    rejections.reset();
-    shared.admission().recordRequest(lastRequestId != null);
-    lastRequestId = statement.id();
-    lastRequestBytes = text.readableBytes();
-    retryAfterSent = false;
-    shared.dispatcher().requestReceived(statement, protocol);
-  }
-
-  private void checkAcceptable(SqlStatement statement) throws ProtocolException {
-    if (!shared.statementMemory().hasRoomFor(statement.text().readableBytes())) {
-      throw ProtocolException.rejected(
-          SqlState.TOO_MANY_CONNECTIONS, "memory is short: trying again is harmless");
-    }
-    if (shared.dispatcher().isRequestIdInUse(statement.id())) {
-      throw ProtocolException.rejected(SqlState.INVALID_PARAMETER_VALUE, "the id is not new");
-    }
-    if (!shared.dispatcher().hasGroup(statement.group())) {
-      throw ProtocolException.rejected(SqlState.INVALID_PARAMETER_VALUE, "the cluster is unknown");
-    }
+    SqlStatement statement = submitter.accept(text);
+    admissionReporter.requestSubmitted();
+    submitter.submit(statement, text.readableBytes(), protocol);
   }
 
   @Override
@@ -273,17 +188,10 @@
     return rows[0];
   }
 
-  /** Slows the client down, unless it was rejected for the router's own state. */
   @Override
   public void statementRejected(ProtocolException rejection) {
     counters.increment(Counter.STATEMENTS_REJECTED);
-    String sqlState = rejection.sqlState();
-    boolean isCausedByRouter =
-        sqlState.equals(SqlState.TOO_MANY_CONNECTIONS)
-            || sqlState.equals(SqlState.CANNOT_CONNECT_NOW);
-    if (!isCausedByRouter) {
-      rejections.recordRejection(this::resumeLater);
-    }
+    submitter.statementRejected(rejection, this::resumeLater);
   }
 
   @Override
@@ -293,45 +201,46 @@
 
   @Override
   public void cancelRequest(long otherKey) {
-    shared.registry().findByCancelKey(otherKey).ifPresent(FrontendConnection::cancelPendingRequest);
+    registry.findByCancelKey(otherKey).ifPresent(FrontendConnection::cancelPendingRequest);
   }
 
   private void cancelPendingRequest() {
     if (protocol.hasPendingRequest()) {
-      shared.dispatcher().clientDisconnected(lastRequestId);
+      submitter.clientDisconnected();
       protocol.answerCancelled();
     }
   }
 
   @Override
   public void clientTerminated() {
-    shared.dispatcher().clientDisconnected(lastRequestId);
+    submitter.clientDisconnected();
   }
 
-  // ---- output
-
   @Override
   public void write(ByteBuf out) {
-    lastActivity = clock.now();
-    answered |= startedUp; // the startup response itself does not count as an answer
-    startedUp |= !protocol.isStartingUp();
-    if (!protocol.isStartingUp()) {
-      incompleteSince = lastActivity;
-    }
+    timeout.bytesWritten(clock.now(), protocol.isStartingUp());
+    admissionReporter.written(protocol.isStartingUp());
     channel.writeAndFlush(out);
-    updateStatementMemory();
-    updateAdmissionState();
-    if (pipelinedTooMuch) {
+    updateHeldBytes();
+    reportState();
+    if (inputLimit.isExceeded()) {
       resumeLater();
     }
   }
 
   @Override
   public void retryAfterAnnounced() {
-    retryAfterSent = true;
+    admissionReporter.retryAfterAnnounced();
   }
 
-  // ---- end
+  /** Closes the connection to make room for another. */
+  void evict() {
+    counters.increment(Counter.CLIENTS_EVICTED);
+    if (!admissionReporter.isAnswered()) {
+      counters.increment(Counter.CLIENTS_EVICTED_UNANSWERED);
+    }
+    close();
+  }
 
   /** Closes the connection as soon as it has no request. */
   void drain() {
@@ -351,7 +260,7 @@
   public void close() {
     if (!isLingering()) {
       unregister();
-      shared.lingeringConnections().add(this);
+      lingeringConnections.add(this);
     }
   }
 
@@ -361,13 +270,11 @@
   }
 
   private void unregister() {
-    if (shared.registry().remove(this, admitted)) {
+    if (registry.remove(this, admissionReporter.admitted())) {
       counters.increment(Counter.CLIENTS_CLOSED);
-      updateStatementMemory();
+      updateHeldBytes();
       protocol.connectionClosed();
-      if (lastRequestId != null) {
-        shared.dispatcher().clientDisconnected(lastRequestId);
-      }
+      submitter.clientDisconnected();
     }
   }
 }
--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -51,15 +51,17 @@
   private static final ErrorResponse TOO_MANY_CONNECTIONS =
       ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "too many connections");
 
+  private final RequestDispatcher dispatcher;
   private final EventLoopClock clock;
   private final TimerQueue timers;
   private final Counters counters;
+  private final List<RequestClass> requestClasses;
   private final ConnectionAdmission admission;
   private final DescriptorBudget descriptorBudget;
   private final LongSupplier retryAfterNanos;
   private final ConnectionRegistry registry;
   private final LingeringConnections lingeringConnections;
-  private final ConnectionContext context;
+  private final StatementMemory statementMemory = new StatementMemory();
   private boolean evictionScheduled;
   private boolean draining;
 
@@ -77,25 +79,16 @@
       List<RequestClass> requestClasses,
       ConnectionLimits limits,
       RandomGenerator random) {
+    this.dispatcher = dispatcher;
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
+    this.requestClasses = requestClasses;
     admission = limits.admission();
     descriptorBudget = limits.descriptorBudget();
     retryAfterNanos = limits.retryAfterNanos();
     registry = new ConnectionRegistry(admission, descriptorBudget, random);
     lingeringConnections = new LingeringConnections(clock);
-    context =
-        new ConnectionContext(
-            dispatcher,
-            clock,
-            timers,
-            counters,
-            requestClasses,
-            admission,
-            registry,
-            lingeringConnections,
-            new StatementMemory());
     checkTimeouts();
   }
 
@@ -149,7 +142,7 @@
 
   private void accept(Channel channel) {
     counters.increment(Counter.CLIENTS_ACCEPTED);
-    channel.pipeline().addLast(new FrontendConnection(channel, context));
+    channel.pipeline().addLast(createConnection(channel));
     evictIdleConnections();
     if (admission.isOverLimit() && !evictionScheduled) {
       evictionScheduled = true;
@@ -157,6 +150,24 @@
     }
   }
 
+  private FrontendConnection createConnection(Channel channel) {
+    RequestSubmitter submitter =
+        new RequestSubmitter(
+            dispatcher,
+            requestClasses,
+            statementMemory,
+            admission,
+            new RejectionThrottle(clock, timers));
+    return new FrontendConnection(
+        channel,
+        clock,
+        counters,
+        registry,
+        lingeringConnections,
+        submitter,
+        new InputLimit(statementMemory));
+  }
+
   // ---- limit
 
   /** Closes connections that have been idle for long, where few clients reuse theirs. */
--- a/router/src/test/java/rushwood/net/FrontendConnectionTest.java
+++ b/router/src/test/java/rushwood/net/FrontendConnectionTest.java
@@ -52,17 +52,8 @@
   private final ConnectionRegistry registry =
       new ConnectionRegistry(admission, descriptors, new SplittableRandom(1));
   private final PendingPolicy policy = new PendingPolicy();
-  private final ConnectionContext context =
-      new ConnectionContext(
-          dispatcher(),
-          loop.clock,
-          loop.timers,
-          loop.counters,
-          TestMessages.REQUEST_CLASSES,
-          admission,
-          registry,
-          new LingeringConnections(loop.clock),
-          memory);
+  private final LingeringConnections lingering = new LingeringConnections(loop.clock);
+  private final RequestDispatcher dispatcher = dispatcher();
   private EmbeddedChannel channel;
   private FrontendConnection connection;
 
@@ -127,7 +118,22 @@
   @BeforeEach
   void connect() {
     channel = new EmbeddedChannel();
-    connection = new FrontendConnection(channel, context);
+    RequestSubmitter submitter =
+        new RequestSubmitter(
+            dispatcher,
+            TestMessages.REQUEST_CLASSES,
+            memory,
+            admission,
+            new RejectionThrottle(loop.clock, loop.timers));
+    connection =
+        new FrontendConnection(
+            channel,
+            loop.clock,
+            loop.counters,
+            registry,
+            lingering,
+            submitter,
+            new InputLimit(memory));
     channel.pipeline().addLast(connection);
   }
 
@@ -161,8 +167,8 @@
   private String received() {
     StringBuilder types = new StringBuilder();
     for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-      String each = TestMessages.messageTypes(TestMessages.readAndRelease(out));
-      types.append(types.isEmpty() || each.isEmpty() ? "" : " ").append(each);
+      String written = TestMessages.messageTypes(TestMessages.readAndRelease(out));
+      types.append(types.isEmpty() || written.isEmpty() ? "" : " ").append(written);
     }
     return types.toString();
   }
--- a/router/src/test/java/rushwood/net/LingeringConnectionsTest.java
+++ b/router/src/test/java/rushwood/net/LingeringConnectionsTest.java
@@ -99,7 +99,7 @@
   @Test
   void oldestIsClosedForOneTooMany() {
     List<EmbeddedChannel> channels = linger(MAX_LINGERING);
-    channels.forEach(each -> assertTrue(each.isOpen()));
+    channels.forEach(channel -> assertTrue(channel.isOpen()));
     linger(1);
     assertFalse(channels.get(0).isOpen());
     assertTrue(channels.get(1).isOpen());
@@ -110,8 +110,8 @@
   void anyNumberMayLingerDuringShutdown() {
     connections.removeLimit();
     List<EmbeddedChannel> channels = linger(MAX_LINGERING + 1);
-    channels.forEach(each -> assertTrue(each.isOpen()));
+    channels.forEach(channel -> assertTrue(channel.isOpen()));
     connections.closeAll();
-    channels.forEach(each -> assertFalse(each.isOpen()));
+    channels.forEach(channel -> assertFalse(channel.isOpen()));
   }
 }
