--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -6,7 +6,6 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.RecvByteBufAllocator;
 import java.util.List;
-import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import rushwood.api.RequestClass;
 import rushwood.dispatch.Counter;
@@ -14,29 +13,26 @@
 import rushwood.dispatch.EventLoopClock;
 import rushwood.dispatch.RequestDispatcher;
 import rushwood.dispatch.TimerQueue;
-import rushwood.overload.AdmittedConnection;
 import rushwood.overload.ConnectionAdmission;
-import rushwood.overload.DescriptorBudget;
-import rushwood.overload.EvictionDecision;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.MessageWriter;
 import rushwood.protocol.SqlState;
 
 /**
- * Accepts the connections of clients, closes idle ones where descriptors are short, and ends all of
- * them on shutdown. Belongs to the event loop of its channels; initializes each accepted channel.
+ * Accepts the connections of clients, closes those that take too long, and ends all of them on
+ * shutdown. Belongs to the event loop of its channels; initializes each accepted channel.
+ *
+ * <p>The first of these cases holds for a new connection:
+ *
+ * <ol>
+ *   <li>The router drains: refused with an error, or closed at once if too many linger already.
+ *   <li>The {@link ConnectionLimiter} finds or makes room for it: accepted.
+ *   <li>Else refused with an error that tells the client when to come back.
+ * </ol>
  */
 public final class FrontendServer extends ChannelInitializer<Channel> {
   private static final long TIMEOUT_CHECK_INTERVAL_NANOS = 200_000_000L;
 
-  // Over the limit, nothing is closed for a new connection before what clients have sent is read:
-  // a turn of the event loop takes no longer than this.
-  private static final long EVICTION_DELAY_NANOS = 1_000_000L;
-
-  // Connections admitted above the limit meanwhile, on descriptors of the router's own share: as
-  // many as are accepted in one turn.
-  private static final int ACCEPT_MARGIN = 16;
-
   // A channel is read until nothing is left: the end of a connection that arrived behind a
   // statement is seen before the statement is sent to a host. 16 reads of up to 64 KiB a turn are
   // Netty's default.
@@ -48,8 +44,6 @@
 
   private static final ErrorResponse SHUTTING_DOWN =
       ErrorResponse.fatal(SqlState.CANNOT_CONNECT_NOW, "this router ends");
-  private static final ErrorResponse TOO_MANY_CONNECTIONS =
-      ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "too many connections");
 
   private final RequestDispatcher dispatcher;
   private final EventLoopClock clock;
@@ -57,12 +51,10 @@
   private final Counters counters;
   private final List<RequestClass> requestClasses;
   private final ConnectionAdmission admission;
-  private final DescriptorBudget descriptorBudget;
-  private final LongSupplier retryAfterNanos;
+  private final ConnectionLimiter limiter;
   private final ConnectionRegistry registry;
   private final LingeringConnections lingeringConnections;
   private final StatementMemory statementMemory = new StatementMemory();
-  private boolean evictionScheduled;
   private boolean draining;
 
   /**
@@ -85,9 +77,8 @@
     this.counters = counters;
     this.requestClasses = requestClasses;
     admission = limits.admission();
-    descriptorBudget = limits.descriptorBudget();
-    retryAfterNanos = limits.retryAfterNanos();
-    registry = new ConnectionRegistry(admission, descriptorBudget, random);
+    limiter = new ConnectionLimiter(clock, timers, counters, limits);
+    registry = new ConnectionRegistry(admission, limits.descriptorBudget(), random);
     lingeringConnections = new LingeringConnections(clock);
     checkTimeouts();
   }
@@ -99,30 +90,24 @@
         .filter(connection -> !counters.runSafely(connection::checkTimeouts))
         .forEach(connection -> connection.channel.close());
     lingeringConnections.checkDeadlines();
-    evictIdleConnections();
+    limiter.closeIdleBelowLimit();
   }
 
-  // ---- new connections
-
   @Override
   protected void initChannel(Channel channel) {
     channel.config().setRecvByteBufAllocator(READ_UNTIL_EMPTY);
-    admission.setMaxConnections(descriptorBudget.maxClients(clock.now()));
+    limiter.updateLimit();
     if (draining) {
       refuseWhileDraining(channel);
-    } else if (isAboveMargin(admission.openConnections()) && !evictNext()) {
-      refuse(channel, TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
-    } else {
+    } else if (limiter.makeRoom()) {
       accept(channel);
+    } else {
+      refuse(channel, limiter.tooManyConnections());
     }
   }
 
-  private boolean isAboveMargin(int connections) {
-    return connections >= admission.maxConnections() + ACCEPT_MARGIN;
-  }
-
   private void refuseWhileDraining(Channel channel) {
-    if (isAboveMargin(openConnections())) {
+    if (limiter.isAboveMargin(openConnections())) {
       channel.close();
     } else {
       refuse(channel, SHUTTING_DOWN);
@@ -143,11 +128,7 @@
   private void accept(Channel channel) {
     counters.increment(Counter.CLIENTS_ACCEPTED);
     channel.pipeline().addLast(createConnection(channel));
-    evictIdleConnections();
-    if (admission.isOverLimit() && !evictionScheduled) {
-      evictionScheduled = true;
-      timers.schedule(clock.now() + EVICTION_DELAY_NANOS, this::enforceConnectionLimit);
-    }
+    limiter.connectionAccepted();
   }
 
   private FrontendConnection createConnection(Channel channel) {
@@ -168,65 +149,11 @@
         new InputLimit(statementMemory));
   }
 
-  // ---- limit
-
-  /** Closes connections that have been idle for long, where few clients reuse theirs. */
-  private void evictIdleConnections() {
-    EvictionDecision decision = admission.decideBelowLimit(clock.now());
-    while (decision.action().isClose()) {
-      connectionOf(decision.connection()).evict();
-      decision = admission.decideBelowLimit(clock.now());
-    }
-  }
-
-  /** Makes room for one connection; returns whether there was one to close. */
-  private boolean evictNext() {
-    EvictionDecision decision = admission.decideOverLimit(clock.now());
-    if (!decision.action().isClose()) {
-      return false;
-    }
-    connectionOf(decision.connection()).evict();
-    return true;
-  }
-
-  /** Runs once all that has arrived is read: evicts what may be closed, then refuses the newest. */
-  private void enforceConnectionLimit() {
-    evictionScheduled = false;
-    boolean more = true;
-    while (more) {
-      more = admission.isOverLimit() && endOneOverLimit();
-    }
-  }
-
-  /** Closes or refuses one connection; returns whether there was one. */
-  private boolean endOneOverLimit() {
-    EvictionDecision decision = admission.decideOverLimit(clock.now());
-    switch (decision.action()) {
-      case CLOSE_WITHOUT_FIRST_REQUEST, CLOSE_IDLE -> connectionOf(decision.connection()).evict();
-      case REFUSE_NEWEST -> refuseNewest(connectionOf(decision.connection()));
-      case NONE -> {
-        return false;
-      }
-    }
-    return true;
-  }
-
-  private void refuseNewest(FrontendConnection connection) {
-    counters.increment(Counter.CLIENTS_REFUSED);
-    connection.closeWithError(TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
-  }
-
-  private static FrontendConnection connectionOf(AdmittedConnection admitted) {
-    return (FrontendConnection) admitted.owner();
-  }
-
   /** Connections that use a descriptor, those that linger included. */
   public int openConnections() {
     return registry.size() + lingeringConnections.size();
   }
 
-  // ---- shutdown
-
   /** Shutdown is near: a client whose connection is closed now can't open another one here. */
   public void shuttingDown() {
     admission.startShutdown();
