--- a/router/src/main/java/rushwood/server/WarmupTraffic.java
+++ b/router/src/main/java/rushwood/server/WarmupTraffic.java
@@ -17,7 +17,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import rushwood.api.RequestClass;
-import rushwood.net.WarmupPeers;
+import rushwood.net.WarmupBackend;
+import rushwood.net.WarmupClient;
 
 /**
  * The clients and backends of a warm-up, on Unix domain sockets in a folder. Each client sends one
@@ -102,7 +103,7 @@
           @Override
           protected void initChannel(Channel channel) {
             channels.add(channel);
-            channel.pipeline().addLast(new WarmupPeers.Backend(requestCount));
+            channel.pipeline().addLast(new WarmupBackend(requestCount));
           }
         };
     channels.add(serverBootstrap(initializer).bind(backendAddress).channel());
@@ -138,7 +139,7 @@
         new Bootstrap()
             .group(eventLoop)
             .channel(NioDomainSocketChannel.class)
-            .handler(new WarmupPeers.Client(this::nextStatement, this::connectClient))
+            .handler(new WarmupClient(this::nextStatement, this::connectClient))
             .connect(clientAddress)
             .channel());
   }
