--- a/router/src/main/java/rushwood/net/ConnectionLimits.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimits.java
@@ -9,7 +9,8 @@
  *
  * @param admission which connections are kept, and which are closed for others
  * @param descriptorBudget how many descriptors clients may use, beside the connections to hosts
- * @param retryAfterNanos the wait that a refused client is told, not positive for none
+ * @param retryAfterNanos the wait in nanoseconds that a client is told whose connection is refused,
+ *     not positive for none
  */
 public record ConnectionLimits(
     ConnectionAdmission admission,
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -30,7 +30,7 @@
   private final Map<HostId, OverloadDetector> hostDetectors = new LinkedHashMap<>();
   private final Map<HostId, GroupId> groupByHost = new LinkedHashMap<>();
 
-  /** {@code log} receives a line for each change of state. */
+  /** Creates statistics without hosts; {@code log} receives a line for each change of state. */
   OverloadStatistics(
       OverloadSettings settings, OverloadCounts counts, BiConsumer<LogLevel, String> log) {
     this.settings = settings;
--- a/router/src/main/java/rushwood/overload/RepeatDetector.java
+++ b/router/src/main/java/rushwood/overload/RepeatDetector.java
@@ -17,7 +17,7 @@
  * </ul>
  */
 final class RepeatDetector {
-  // 128 KiB in all; at 5,000 unanswered requests a span 0.7% of the others pass for repeats.
+  // 128 KiB in all, for some 5,000 unanswered requests within one delay.
   private static final int SKETCH_CELLS_PER_ROW = 1 << 14;
 
   private final RepeatSketch unansweredSketch;
--- a/router/src/test/java/rushwood/overload/ConnectBackoffTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectBackoffTest.java
@@ -9,7 +9,7 @@
 import rushwood.api.HostId;
 
 class ConnectBackoffTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final HostId HOST = new HostId("a");
 
   /** A host that is down gets under fifty attempts in ten seconds, whatever the load. */
@@ -17,7 +17,7 @@
   void connectAttemptsAreLimitedAfterFailures() {
     ConnectBackoff backoff = new ConnectBackoff(new SplittableRandom(9), true);
     int attempts = 0;
-    for (long at = 0; at < 10_000 * MS; at += MS) {
+    for (long at = 0; at < 10_000 * NANOS_PER_MILLI; at += NANOS_PER_MILLI) {
       for (int i = 0; i < 20; i++) {
         if (backoff.isAttemptAllowed(HOST, at)) {
           backoff.attemptStarted(HOST);
@@ -27,7 +27,7 @@
       }
     }
     assertTrue(attempts > 15 && attempts < 50, attempts + " in ten seconds");
-    long at = 11_000 * MS;
+    long at = 11_000 * NANOS_PER_MILLI;
     assertTrue(backoff.isAttemptAllowed(HOST, at));
     backoff.attemptStarted(HOST);
     assertFalse(backoff.isAttemptAllowed(HOST, at), "one at a time");
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -12,17 +12,17 @@
 import rushwood.overload.EvictionDecision.Action;
 
 class ConnectionAdmissionTest {
-  private static final long MS = 1_000_000L;
-  private static final long WAIT = 500 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long RETRY_AFTER_NANOS = 500 * NANOS_PER_MILLI;
 
-  private final ConnectionAdmission admission = new ConnectionAdmission(3, WAIT);
+  private final ConnectionAdmission admission = new ConnectionAdmission(3, RETRY_AFTER_NANOS);
 
   private AdmittedConnection admit(String owner, long at) {
-    return admission.admit(owner, at * MS);
+    return admission.admit(owner, at * NANOS_PER_MILLI);
   }
 
   private void setState(AdmittedConnection connection, ConnectionState state, long at) {
-    admission.setState(connection, state, at * MS);
+    admission.setState(connection, state, at * NANOS_PER_MILLI);
   }
 
   private static void assertEnds(
@@ -32,7 +32,7 @@
   }
 
   private void assertEndsOverLimit(Action action, AdmittedConnection connection, long at) {
-    assertEnds(action, connection, admission.decideOverLimit(at * MS));
+    assertEnds(action, connection, admission.decideOverLimit(at * NANOS_PER_MILLI));
   }
 
   private static void assertNoneEnds(EvictionDecision decision, String message) {
@@ -57,7 +57,7 @@
     // The others await a retry, are busy or new.
     assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 350);
     admission.remove(newest);
-    assertNoneEnds(admission.decideOverLimit(749 * MS), "may still return");
+    assertNoneEnds(admission.decideOverLimit(749 * NANOS_PER_MILLI), "may still return");
     // Did not return at its time nor soon after.
     assertEndsOverLimit(Action.CLOSE_IDLE, awaitingRetry, 750);
   }
@@ -84,31 +84,31 @@
     AdmittedConnection newest = admit("newest", 1);
     assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 1);
     setState(newest, ConnectionState.BUSY, 1);
-    assertNoneEnds(admission.decideOverLimit(1 * MS), "all are busy");
+    assertNoneEnds(admission.decideOverLimit(1 * NANOS_PER_MILLI), "all are busy");
   }
 
   /** Clients that send one request and stay idle lose the connection even below the limit. */
   @Test
   void idleConnectionsAreClosedWhereReuseIsRare() {
-    ConnectionAdmission large = new ConnectionAdmission(100, WAIT);
+    ConnectionAdmission large = new ConnectionAdmission(100, RETRY_AFTER_NANOS);
     List<AdmittedConnection> idle = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       idle.add(large.admit(i, 0));
       large.setState(idle.get(i), ConnectionState.IDLE, 0);
       large.recordRequest(true);
     }
-    assertNoneEnds(large.decideBelowLimit(1000 * MS), "connections are reused");
+    assertNoneEnds(large.decideBelowLimit(1000 * NANOS_PER_MILLI), "connections are reused");
     for (int i = 0; i < 40; i++) {
       large.recordRequest(false);
     }
-    assertNoneEnds(large.decideBelowLimit(99 * MS), "not idle for long enough");
+    assertNoneEnds(large.decideBelowLimit(99 * NANOS_PER_MILLI), "not idle for long enough");
     for (int i = 0; i < 28; i++) {
-      assertEnds(Action.CLOSE_IDLE, idle.get(i), large.decideBelowLimit(100 * MS));
+      assertEnds(Action.CLOSE_IDLE, idle.get(i), large.decideBelowLimit(100 * NANOS_PER_MILLI));
       large.remove(idle.get(i));
     }
-    assertNoneEnds(large.decideBelowLimit(1000 * MS), "so few may stay idle");
+    assertNoneEnds(large.decideBelowLimit(1000 * NANOS_PER_MILLI), "so few may stay idle");
     large.startShutdown();
-    assertNoneEnds(large.decideBelowLimit(1000 * MS), "the router shuts down");
+    assertNoneEnds(large.decideBelowLimit(1000 * NANOS_PER_MILLI), "the router shuts down");
   }
 
   /** A client that loses its connection during shutdown cannot reconnect: idle ones are kept. */
@@ -130,18 +130,18 @@
   void randomOperationsKeepListsConsistent() {
     SplittableRandom random = new SplittableRandom(5);
     List<AdmittedConnection> admitted = new ArrayList<>();
-    ConnectionAdmission large = new ConnectionAdmission(50, WAIT);
+    ConnectionAdmission large = new ConnectionAdmission(50, RETRY_AFTER_NANOS);
     for (long at = 0; at < 20_000; at++) {
       int operation = random.nextInt(4);
       if (operation == 0) {
-        admitted.add(large.admit(at, at * MS));
+        admitted.add(large.admit(at, at * NANOS_PER_MILLI));
       } else if (!admitted.isEmpty() && operation == 1) {
         large.remove(admitted.remove(random.nextInt(admitted.size())));
       } else if (!admitted.isEmpty()) {
         large.setState(
             admitted.get(random.nextInt(admitted.size())),
             ConnectionState.values()[random.nextInt(4)],
-            at * MS);
+            at * NANOS_PER_MILLI);
       }
       closeWhileOverLimit(large, admitted, at);
       assertEquals(admitted.size(), large.openConnections());
@@ -156,7 +156,7 @@
   private static void closeWhileOverLimit(
       ConnectionAdmission admission, List<AdmittedConnection> admitted, long at) {
     while (admission.isOverLimit()) {
-      EvictionDecision decision = admission.decideOverLimit(at * MS);
+      EvictionDecision decision = admission.decideOverLimit(at * NANOS_PER_MILLI);
       if (!decision.action().isClose()) {
         return;
       }
--- a/router/src/test/java/rushwood/overload/DescriptorBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/DescriptorBudgetTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class DescriptorBudgetTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   @Test
   void maxClientsFollowsBackendPeak() {
@@ -14,13 +14,14 @@
     assertEquals(40, budget.maxBackends());
     budget.setOpenClients(85);
     assertEquals(15, budget.maxBackends());
-    budget.setOpenBackends(15, 1000 * MS);
-    assertEquals(81, budget.maxClients(1000 * MS), "backends keep a quarter above their peak");
-    budget.setOpenBackends(2, 2000 * MS);
-    assertEquals(82, budget.maxClients(2000 * MS));
-    assertEquals(87, budget.maxClients(60_000 * MS));
-    budget.setOpenBackends(60, 61_000 * MS);
-    assertEquals(60, budget.maxClients(61_000 * MS), "clients keep three fifths");
+    budget.setOpenBackends(15, 1000 * NANOS_PER_MILLI);
+    assertEquals(
+        81, budget.maxClients(1000 * NANOS_PER_MILLI), "backends keep a quarter above their peak");
+    budget.setOpenBackends(2, 2000 * NANOS_PER_MILLI);
+    assertEquals(82, budget.maxClients(2000 * NANOS_PER_MILLI));
+    assertEquals(87, budget.maxClients(60_000 * NANOS_PER_MILLI));
+    budget.setOpenBackends(60, 61_000 * NANOS_PER_MILLI);
+    assertEquals(60, budget.maxClients(61_000 * NANOS_PER_MILLI), "clients keep three fifths");
     assertEquals(15, budget.maxBackends());
   }
 }
--- a/router/src/test/java/rushwood/overload/FingerprintCacheTest.java
+++ b/router/src/test/java/rushwood/overload/FingerprintCacheTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class FingerprintCacheTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /** A full bucket evicts the entry that expires first. */
   @Test
@@ -14,7 +14,7 @@
     FingerprintCache cache = new FingerprintCache(16);
     long bytes = cache.memoryBytes();
     for (long fingerprint = 1; fingerprint <= 10_000; fingerprint++) {
-      cache.put(fingerprint, fingerprint * MS, fingerprint, 0);
+      cache.put(fingerprint, fingerprint * NANOS_PER_MILLI, fingerprint, 0);
     }
     int kept = 0;
     for (long fingerprint = 1; fingerprint <= 10_000; fingerprint++) {
@@ -24,8 +24,8 @@
     }
     assertEquals(64, kept);
     assertEquals(10_000, cache.get(10_000, 0));
-    assertEquals(FingerprintCache.ABSENT, cache.get(10_000, 10_000 * MS), "expired");
-    cache.put(10_000, 20_000 * MS, 5, 0);
+    assertEquals(FingerprintCache.ABSENT, cache.get(10_000, 10_000 * NANOS_PER_MILLI), "expired");
+    cache.put(10_000, 20_000 * NANOS_PER_MILLI, 5, 0);
     assertEquals(5, cache.get(10_000, 0));
     cache.remove(10_000);
     assertEquals(FingerprintCache.ABSENT, cache.get(10_000, 0));
--- a/router/src/test/java/rushwood/overload/OverloadControllerFixture.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerFixture.java
@@ -25,20 +25,21 @@
  * group N, a clock that the test moves, and a record of all actions and log lines.
  */
 final class OverloadControllerFixture {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   static final RequestClass PAYMENT =
       new RequestClass(
           "pay",
           0,
-          750 * MS,
+          750 * NANOS_PER_MILLI,
           RequestClass.Idempotency.NON_IDEMPOTENT,
           RequestClass.KeyScope.GLOBAL,
-          5000 * MS,
+          5000 * NANOS_PER_MILLI,
           true,
           RequestClass.Consistency.EVENTUAL,
           0,
           0);
-  static final RequestClass READ = RequestClassFixture.eventualRead("any", 1, 400 * MS);
+  static final RequestClass READ =
+      RequestClassFixture.eventualRead("any", 1, 400 * NANOS_PER_MILLI);
   private static final RoutingSettings SETTINGS =
       RoutingSettings.builder()
           .routerCount(1)
@@ -46,20 +47,20 @@
           .laggingReadBehavior(RoutingSettings.LaggingReadBehavior.REJECTS)
           .canCancel(true)
           .canSendRetryAfter(true)
-          .maxRetryAfterNanos(500 * MS)
+          .maxRetryAfterNanos(500 * NANOS_PER_MILLI)
           .maxAttempts(10)
-          .clockResolutionNanos(5 * MS)
+          .clockResolutionNanos(5 * NANOS_PER_MILLI)
           .isRemovalBinding(true)
           .coldStartShare(0.15)
-          .warmupNanos(14_000 * MS)
+          .warmupNanos(14_000 * NANOS_PER_MILLI)
           .collapseMultiple(4)
-          .collapseWindowNanos(1000 * MS)
-          .refreshWithinNanos(10_000 * MS)
+          .collapseWindowNanos(1000 * NANOS_PER_MILLI)
+          .refreshWithinNanos(10_000 * NANOS_PER_MILLI)
           .build();
 
   final OverloadController controller;
   private final List<String> recorded = new ArrayList<>();
-  private long now = 1_000_000 * MS;
+  private long now = 1_000_000 * NANOS_PER_MILLI;
   private int nextId;
 
   private final class RecordingActions extends NoPolicyActions {
@@ -75,7 +76,7 @@
 
     @Override
     public void reject(RequestId request, long retryAfterNanos) {
-      recorded.add("reject " + request + " " + retryAfterNanos / MS);
+      recorded.add("reject " + request + " " + retryAfterNanos / NANOS_PER_MILLI);
     }
 
     @Override
@@ -119,7 +120,7 @@
   }
 
   void advanceMillis(long millis) {
-    now += millis * MS;
+    now += millis * NANOS_PER_MILLI;
   }
 
   /**
@@ -130,7 +131,7 @@
   }
 
   List<String> recorded(String verb) {
-    return recorded.stream().filter(each -> each.startsWith(verb)).toList();
+    return recorded.stream().filter(entry -> entry.startsWith(verb)).toList();
   }
 
   void clearRecord() {
@@ -156,7 +157,7 @@
             requestClass,
             null,
             new GroupId(group),
-            now + 1000 * MS,
+            now + 1000 * NANOS_PER_MILLI,
             0,
             fingerprint,
             0));
@@ -171,7 +172,7 @@
             0,
             new HostId("h" + group),
             outcome,
-            10 * MS,
+            10 * NANOS_PER_MILLI,
             requestFinished,
             HostRole.UNKNOWN,
             AttemptResult.NO_POSITION,
--- a/router/src/test/java/rushwood/overload/RepeatSketchTest.java
+++ b/router/src/test/java/rushwood/overload/RepeatSketchTest.java
@@ -9,46 +9,46 @@
 import org.junit.jupiter.api.Test;
 
 class RepeatSketchTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /** Counts too many for one fingerprint in a hundred at most. */
   @Test
   void sketchNeverCountsFewerThanExactMap() {
-    RepeatSketch sketch = new RepeatSketch(1 << 14, 1000 * MS);
+    RepeatSketch sketch = new RepeatSketch(1 << 14, 1000 * NANOS_PER_MILLI);
     Map<Long, Integer> exact = new HashMap<>();
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 10_000; i++) {
       long fingerprint = random.nextLong(8_000);
-      sketch.add(fingerprint, 500 * MS);
+      sketch.add(fingerprint, 500 * NANOS_PER_MILLI);
       exact.merge(fingerprint, 1, Integer::sum);
     }
     int overcounted = 0;
     for (long fingerprint = 0; fingerprint < 100_000; fingerprint++) {
       int expected = exact.getOrDefault(fingerprint, 0);
-      int seen = sketch.count(fingerprint, 600 * MS);
+      int seen = sketch.count(fingerprint, 600 * NANOS_PER_MILLI);
       assertTrue(seen >= expected, "never too few");
       overcounted += seen > expected ? 1 : 0;
     }
     assertTrue(overcounted < 100_000 / 100, overcounted + " fingerprints counted too often");
     assertEquals(1 << 17, sketch.memoryBytes());
     assertTrue(
-        sketch.count(exact.keySet().iterator().next(), 1600 * MS) > 0,
+        sketch.count(exact.keySet().iterator().next(), 1600 * NANOS_PER_MILLI) > 0,
         "still counted one span later");
     assertEquals(
         0,
-        sketch.count(exact.keySet().iterator().next(), 2700 * MS),
+        sketch.count(exact.keySet().iterator().next(), 2700 * NANOS_PER_MILLI),
         "not counted after two spans");
   }
 
   @Test
   void sketchIsEmptyAfterLongPauseAndSaturates() {
-    RepeatSketch sketch = new RepeatSketch(64, 100 * MS);
+    RepeatSketch sketch = new RepeatSketch(64, 100 * NANOS_PER_MILLI);
     sketch.add(1, 0);
-    assertEquals(1, sketch.count(1, 150 * MS));
-    assertEquals(0, sketch.count(1, 100_000 * MS));
+    assertEquals(1, sketch.count(1, 150 * NANOS_PER_MILLI));
+    assertEquals(0, sketch.count(1, 100_000 * NANOS_PER_MILLI));
     for (int i = 0; i < 1000; i++) {
-      sketch.add(7, 100_000 * MS);
+      sketch.add(7, 100_000 * NANOS_PER_MILLI);
     }
-    assertEquals(254, sketch.count(7, 100_000 * MS), "counts saturate");
+    assertEquals(254, sketch.count(7, 100_000 * NANOS_PER_MILLI), "counts saturate");
   }
 }
--- a/router/src/test/java/rushwood/overload/RetryAfterScheduleTest.java
+++ b/router/src/test/java/rushwood/overload/RetryAfterScheduleTest.java
@@ -8,12 +8,12 @@
 import rushwood.overload.RetryAfterSchedule.Reservation;
 
 class RetryAfterScheduleTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final int GROUP = 1;
   private static final int OTHER_GROUP = 2;
 
   private static RetryAfterSchedule schedule(long maxWaitMillis, double expectedRate) {
-    RetryAfterSchedule schedule = new RetryAfterSchedule(maxWaitMillis * MS);
+    RetryAfterSchedule schedule = new RetryAfterSchedule(maxWaitMillis * NANOS_PER_MILLI);
     schedule.setExpectedRate(expectedRate);
     return schedule;
   }
@@ -21,14 +21,16 @@
   /** Reserves for a request of high priority behind others that wait, at time 0. */
   private static Reservation reserveBehind(
       RetryAfterSchedule schedule, int waitingRequests, long maxWaitMillis) {
-    return schedule.reserve(0, GROUP, true, waitingRequests, maxWaitMillis * MS);
+    return schedule.reserve(0, GROUP, true, waitingRequests, maxWaitMillis * NANOS_PER_MILLI);
   }
 
   /** Reserves at time 0 until there is no room; returns for how many requests there was. */
   private static int reserveAll(
       RetryAfterSchedule schedule, boolean highPriority, long maxWaitMillis) {
     int reserved = 0;
-    while (schedule.reserve(0, GROUP, highPriority, 0, maxWaitMillis * MS).reserved()) {
+    while (schedule
+        .reserve(0, GROUP, highPriority, 0, maxWaitMillis * NANOS_PER_MILLI)
+        .reserved()) {
       reserved++;
     }
     return reserved;
@@ -42,7 +44,7 @@
     int reserved = 0;
     for (int i = 0; i < 1000; i++) {
       Reservation reservation = reserveBehind(schedule, 0, 500);
-      assertTrue(reservation.waitNanos() > 0 && reservation.waitNanos() <= 500 * MS);
+      assertTrue(reservation.waitNanos() > 0 && reservation.waitNanos() <= 500 * NANOS_PER_MILLI);
       if (reservation.reserved()) {
         reserved++;
         slots[(int) (reservation.waitNanos() / RetryAfterSchedule.SLOT_NANOS)]++;
@@ -54,7 +56,7 @@
     }
     assertFalse(reserveBehind(schedule, 0, 500).reserved());
     assertTrue(
-        schedule.reserve(200 * MS, GROUP, true, 0, 500 * MS).reserved(),
+        schedule.reserve(200 * NANOS_PER_MILLI, GROUP, true, 0, 500 * NANOS_PER_MILLI).reserved(),
         "slots of the past are reused");
   }
 
@@ -65,17 +67,17 @@
   @Test
   void scheduleSharesCapacityByPriorityAndGroup() {
     RetryAfterSchedule schedule = schedule(500, 1000);
-    assertTrue(reserveBehind(schedule, 300, 500).waitNanos() >= 300 * MS);
+    assertTrue(reserveBehind(schedule, 300, 500).waitNanos() >= 300 * NANOS_PER_MILLI);
     assertFalse(reserveBehind(schedule, 600, 500).reserved());
     assertFalse(
         reserveBehind(schedule, 300, 200).reserved(), "no capacity within its maximum wait");
     assertEquals(
         70, reserveAll(schedule(100, 1000), false, 100), "seven of ten in each of ten slots");
     RetryAfterSchedule shared = schedule(100, 1000);
-    shared.reserve(0, OTHER_GROUP, true, 0, 100 * MS);
+    shared.reserve(0, OTHER_GROUP, true, 0, 100 * NANOS_PER_MILLI);
     assertEquals(50, reserveAll(shared, true, 100));
     assertTrue(
-        shared.reserve(0, OTHER_GROUP, true, 0, 100 * MS).reserved(),
+        shared.reserve(0, OTHER_GROUP, true, 0, 100 * NANOS_PER_MILLI).reserved(),
         "the other group has its share");
   }
 
@@ -84,7 +86,7 @@
   void scheduleWithLessThanOneReservationPerSlot() {
     int reserved = reserveAll(schedule(500, 25), true, 500);
     assertTrue(reserved >= 12 && reserved <= 13, reserved + " in half a second of 25 a second");
-    RetryAfterSchedule unknownRate = new RetryAfterSchedule(500 * MS);
-    assertEquals(500 * MS, reserveBehind(unknownRate, 0, 500).waitNanos());
+    RetryAfterSchedule unknownRate = new RetryAfterSchedule(500 * NANOS_PER_MILLI);
+    assertEquals(500 * NANOS_PER_MILLI, reserveBehind(unknownRate, 0, 500).waitNanos());
   }
 }
--- a/router/src/test/java/rushwood/overload/RetryBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/RetryBudgetTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class RetryBudgetTest {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /** A fifth of the first attempts, and at most ten a second and the initial tokens on top. */
   @Test
@@ -13,7 +13,7 @@
     RetryBudget budget = new RetryBudget(0.2, 10);
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
-      long at = i * MS;
+      long at = i * NANOS_PER_MILLI;
       budget.recordFirstAttempt(at);
       for (int j = 0; j < 3; j++) {
         if (budget.isRetryAllowed(at)) {
