--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -3,10 +3,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import rushwood.api.AttemptOutcome;
-import rushwood.api.Endpoint;
 import rushwood.api.GroupId;
-import rushwood.api.HostId;
 import rushwood.api.LogLevel;
 import rushwood.api.PolicyActions;
 import rushwood.api.Request;
@@ -19,17 +16,13 @@
  */
 public final class RequestDispatcher {
   private final EventLoopClock clock;
-  private final TimerQueue timers;
   private final Counters counters;
   private final ConnectionPool pool;
   private final PolicyEventQueue events;
   private final InFlightRequests requests;
   private final AttemptRunner attempts;
-  private final HealthCheckRunner healthChecks;
   private final EndpointRegistry endpoints;
-  private final BiConsumer<LogLevel, String> logger;
   private long shutdownDeadline = Long.MAX_VALUE;
-  private TimerQueue.ScheduledTask policyTimer;
 
   /**
    * Creates a dispatcher without endpoints.
@@ -47,19 +40,21 @@
       BiConsumer<LogLevel, String> logger,
       Function<PolicyActions, RoutingPolicy> policyFactory) {
     this.clock = clock;
-    this.timers = timers;
     this.counters = counters;
-    this.logger = logger;
     WriteGate writeGate = new WriteGate(clock, timers, counters, settings.drainGraceNanos());
     pool = new ConnectionPool(connector, clock, timers, counters, writeGate, settings);
     events = new PolicyEventQueue(counters);
     requests = new InFlightRequests(counters, events);
     attempts = new AttemptRunner(clock, timers, counters, pool, writeGate, requests);
-    healthChecks =
+    endpoints = new EndpointRegistry(clock, events, pool, settings.isRemovalBinding());
+    HealthCheckRunner healthChecks =
         new HealthCheckRunner(
             clock, timers, counters, pool, events, connector, settings.connectTimeoutNanos());
-    endpoints = new EndpointRegistry(pool, settings.isRemovalBinding());
-    events.attach(policyFactory.apply(new DispatcherActions()));
+    PolicyTimer policyTimer = new PolicyTimer(clock, timers, events);
+    events.attach(
+        policyFactory.apply(
+            new DispatcherActions(
+                counters, requests, attempts, healthChecks, policyTimer, logger)));
   }
 
   /** Like {@link #endpointsReplaced(List, List, boolean)}, for a list without partial entries. */
@@ -76,24 +71,12 @@
    */
   public void endpointsReplaced(
       List<EndpointAddress> listed, List<PartialEndpoint> partials, boolean fromCache) {
-    List<EndpointAddress> merged = endpoints.merge(listed, partials);
-    List<HostId> missingHosts = endpoints.hostsMissingFrom(merged);
-    endpoints.register(merged);
-    events.deliver(policy -> policy.endpointsReplaced(clock.now(), endpointsOf(merged), fromCache));
-    endpoints.releaseLeaving(merged);
-    missingHosts.forEach(endpoints::remove);
+    endpoints.replaceAll(listed, partials, fromCache);
   }
 
   /** Takes changes to the endpoint list, with what can be read of malformed entries. */
   public void endpointsUpdated(List<EndpointAddress> updates, List<PartialEndpoint> partials) {
-    List<EndpointAddress> merged = endpoints.mergeUpdates(updates, partials);
-    endpoints.register(merged);
-    events.deliver(policy -> policy.endpointsUpdated(clock.now(), endpointsOf(merged)));
-    endpoints.releaseLeaving(merged);
-  }
-
-  private static List<Endpoint> endpointsOf(List<EndpointAddress> entries) {
-    return entries.stream().map(EndpointAddress::endpoint).toList();
+    endpoints.update(updates, partials);
   }
 
   /** Counts a call to discovery that failed. */
@@ -167,69 +150,4 @@
   public void close() {
     pool.closeAllIdle();
   }
-
-  private final class DispatcherActions implements PolicyActions {
-    @Override
-    public void send(RequestId id, HostId host, long timeoutNanos, long startWithinNanos) {
-      InFlightRequest request = requests.findUnanswered(id);
-      if (counters.checkInvariant(request != null, "attempts are for unanswered requests")) {
-        attempts.start(request, host, timeoutNanos, startWithinNanos);
-      }
-    }
-
-    @Override
-    public void cancel(RequestId id, int attemptNumber) {
-      InFlightRequest request = requests.find(id);
-      if (request != null) {
-        request.attempts().get(attemptNumber).stop(AttemptOutcome.CANCELLED);
-      }
-    }
-
-    @Override
-    public void reject(RequestId id, long retryAfterNanos) {
-      InFlightRequest request = requests.findUnanswered(id);
-      if (request != null) {
-        counters.increment(Counter.REQUESTS_REJECTED);
-        finish(request).sendRejection(retryAfterNanos);
-      }
-    }
-
-    @Override
-    public void fail(RequestId id) {
-      InFlightRequest request = requests.findUnanswered(id);
-      if (request != null) {
-        counters.increment(Counter.REQUESTS_FAILED);
-        finish(request).sendFailure();
-      }
-    }
-
-    private ClientResponder finish(InFlightRequest request) {
-      ClientResponder responder = requests.markAnswered(request);
-      requests.forgetIfFinished(request);
-      return responder;
-    }
-
-    @Override
-    public void checkHealth(HostId host) {
-      healthChecks.start(host);
-    }
-
-    @Override
-    public void wakeAt(long time) {
-      if (policyTimer != null) {
-        policyTimer.cancel();
-      }
-      policyTimer =
-          timers.schedule(time, () -> events.deliver(policy -> policy.timerFired(clock.now())));
-    }
-
-    /** Does nothing: the router's endpoint list is kept up to date without being asked for. */
-    @Override
-    public void subscribeToEndpoints() {}
-
-    @Override
-    public void log(LogLevel level, String message) {
-      logger.accept(level, message);
-    }
-  }
 }
--- a/router/src/main/java/rushwood/dispatch/package-info.java
+++ b/router/src/main/java/rushwood/dispatch/package-info.java
@@ -6,4 +6,7 @@
  * network to the routing policy and carries out what the policy decides; it decides nothing itself.
  * Every type of this package is used on the one event loop thread only, and none is synchronized.
  */
+@NullMarked
 package rushwood.dispatch;
+
+import org.jspecify.annotations.NullMarked;
