--- /dev/null
+++ b/router/src/main/java/rushwood/protocol/StatementComment.java
@@ -0,0 +1,136 @@
+package rushwood.protocol;
+
+import io.netty.util.ByteProcessor;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import rushwood.api.GroupId;
+import rushwood.api.RequestClass;
+import rushwood.api.RequestId;
+
+/**
+ * The fields in the comment of a statement, {@code name=value} separated by commas. Those that the
+ * router does not know are passed on to hosts and otherwise ignored.
+ *
+ * <p>A field that is missing is a {@link SqlState#SYNTAX_ERROR}, a value that is not allowed an
+ * {@link SqlState#INVALID_PARAMETER_VALUE}.
+ */
+final class StatementComment {
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+
+  /** In bytes, of a name or a value. */
+  private static final int MAX_FIELD_LENGTH = 256;
+
+  /** In bytes: above any id in use. */
+  private static final int MAX_ID_LENGTH = 128;
+
+  /** One hour: hosts and clients give up far earlier. */
+  private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
+
+  private static final long MAX_TIME_MILLIS = Long.MAX_VALUE / NANOS_PER_MILLI;
+
+  private static final byte[] COMMA = StatementScanner.ascii(",");
+  private static final byte[] EQUALS = StatementScanner.ascii("=");
+
+  private static final String ID_FIELD = "id";
+  private static final String CLASS_FIELD = "c";
+  private static final String GROUP_FIELD = "cluster";
+  private static final String TIMEOUT_FIELD = "d"; // milliseconds
+  private static final String LAST_WRITE_FIELD = "after"; // Unix time in milliseconds
+
+  private static final ByteProcessor FIELD_CHARACTERS =
+      character -> character > ' ' && character < 127 && "'\"*/=,;\\".indexOf(character) < 0;
+
+  private final Map<String, String> fields = new HashMap<>();
+  private int timeoutStart;
+  private int timeoutEnd;
+
+  /** Reads the fields that come next, one at least. */
+  StatementComment(StatementScanner scanner) throws ProtocolException {
+    do {
+      readField(scanner);
+    } while (scanner.skipIfNext(COMMA));
+  }
+
+  private void readField(StatementScanner scanner) throws ProtocolException {
+    String name = scanner.readToken(FIELD_CHARACTERS, MAX_FIELD_LENGTH, "a field's name", "");
+    scanner.skip(EQUALS);
+    int valueStart = scanner.position();
+    String value = scanner.readToken(FIELD_CHARACTERS, MAX_FIELD_LENGTH, "the field ", name);
+    if (fields.put(name, value) != null) {
+      throw StatementScanner.syntaxError("the field " + name + " stands twice");
+    }
+    if (name.equals(TIMEOUT_FIELD)) {
+      timeoutStart = valueStart;
+      timeoutEnd = scanner.position();
+    }
+  }
+
+  /** The class of that name, if it goes with the kind of statement. */
+  RequestClass requestClass(List<RequestClass> requestClasses, boolean isWrite)
+      throws ProtocolException {
+    RequestClass requestClass =
+        RequestClass.findByName(requestClasses, requireField(CLASS_FIELD))
+            .orElseThrow(() -> invalidField(CLASS_FIELD, "names no product"));
+    if (isWrite != requestClass.isWrite()) {
+      throw invalidField(CLASS_FIELD, "does not go with the statement");
+    }
+    return requestClass;
+  }
+
+  RequestId id() throws ProtocolException {
+    String id = requireField(ID_FIELD);
+    if (id.length() > MAX_ID_LENGTH) {
+      throw invalidField(ID_FIELD, "is too long");
+    }
+    return new RequestId(id);
+  }
+
+  /** The group, {@link SqlStatement#UNNAMED_GROUP} if there is no such field. */
+  GroupId group() throws ProtocolException {
+    return fields.containsKey(GROUP_FIELD)
+        ? new GroupId((int) parseNumber(GROUP_FIELD, Integer.MAX_VALUE))
+        : SqlStatement.UNNAMED_GROUP;
+  }
+
+  /** How long the client waits, more than no time and an hour at most. */
+  SqlStatement.Timeout timeout() throws ProtocolException {
+    long nanos = parseNumber(TIMEOUT_FIELD, MAX_TIMEOUT_MILLIS) * NANOS_PER_MILLI;
+    if (nanos == 0) {
+      throw invalidField(TIMEOUT_FIELD, "leaves no time");
+    }
+    return new SqlStatement.Timeout(nanos, timeoutStart, timeoutEnd);
+  }
+
+  /** Unix time in nanoseconds of the session's last write, 0 if there is no such field. */
+  long lastWriteAt() throws ProtocolException {
+    return fields.containsKey(LAST_WRITE_FIELD)
+        ? parseNumber(LAST_WRITE_FIELD, MAX_TIME_MILLIS) * NANOS_PER_MILLI
+        : 0;
+  }
+
+  private long parseNumber(String field, long max) throws ProtocolException {
+    try {
+      long value = Long.parseLong(requireField(field));
+      if (value >= 0 && value <= max) {
+        return value;
+      }
+    } catch (NumberFormatException e) {
+      // reported below, as a number out of range is
+    }
+    throw invalidField(field, "is no such number");
+  }
+
+  private String requireField(String field) throws ProtocolException {
+    String value = fields.get(field);
+    if (value == null) {
+      throw StatementScanner.syntaxError("the field " + field + " is missing");
+    }
+    return value;
+  }
+
+  private static ProtocolException invalidField(String field, String reason) {
+    return ProtocolException.rejected(
+        SqlState.INVALID_PARAMETER_VALUE, "the field " + field + " " + reason);
+  }
+}
