--- a/router/src/main/java/rushwood/protocol/BackendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/BackendProtocol.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
-import java.util.regex.Pattern;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 import rushwood.dispatch.BackendConnection;
 import rushwood.dispatch.BackendResponse;
@@ -24,49 +24,22 @@
     CLOSED
   }
 
-  /** Lengths in bytes: above any row seen, well below what memory holds. */
-  private static final int MAX_ROW_LENGTH = 1 << 20;
-
-  private static final int MAX_TEXT_LENGTH = 8 << 10; // far above any error or notice of a host
-  private static final int MAX_ROW_FRAME_LENGTH = 1 << 10; // RowDescription, CommandComplete
-  private static final int MAX_STARTUP_LENGTH = 300; // messages during startup
-  private static final int READY_FOR_QUERY_LENGTH = 5;
   private static final int AUTHENTICATION_OK = 0;
   private static final char TRANSACTION_STATUS_IDLE = 'I';
-  private static final char SQL_STATE_FIELD = 'C';
-
-  private static final Pattern SQL_STATE = Pattern.compile("[0-9A-Z]{5}");
 
   private final BackendConnection.Listener listener;
   private final MessageReader reader;
   private final ResponseAssembler response;
   private State state = State.STARTUP;
-  private boolean malformed;
+  private boolean isMalformed;
 
   /** Creates the protocol of a connection that has just been opened. */
   public BackendProtocol(ByteBufAllocator allocator, BackendConnection.Listener listener) {
     this.listener = listener;
-    reader = new MessageReader(allocator, BackendProtocol::maxLength);
+    reader = new MessageReader(allocator, MessageLimits::ofHost);
     response = new ResponseAssembler(allocator);
   }
 
-  /** Tight limits show malformed data at a message's head, not only when the attempt times out. */
-  private static int maxLength(int type) {
-    return switch (type) {
-      case BackendMessageType.READY_FOR_QUERY -> READY_FOR_QUERY_LENGTH;
-      case BackendMessageType.AUTHENTICATION, BackendMessageType.BACKEND_KEY_DATA ->
-          MAX_STARTUP_LENGTH;
-      case BackendMessageType.ROW_DESCRIPTION, BackendMessageType.COMMAND_COMPLETE ->
-          MAX_ROW_FRAME_LENGTH;
-      case BackendMessageType.PARAMETER_STATUS,
-          BackendMessageType.ERROR_RESPONSE,
-          BackendMessageType.NOTICE_RESPONSE ->
-          MAX_TEXT_LENGTH;
-      case BackendMessageType.DATA_ROW -> MAX_ROW_LENGTH;
-      default -> 0;
-    };
-  }
-
   /**
    * Call before a statement is written; only if the connection {@link #isUsable}.
    *
@@ -92,12 +65,12 @@
       reader.releaseIfEmpty();
       return state != State.CLOSED;
     } catch (ProtocolException violation) {
-      malformed = true;
+      isMalformed = true;
       return false;
     }
   }
 
-  private ByteBuf nextMessage() throws ProtocolException {
+  private @Nullable ByteBuf nextMessage() throws ProtocolException {
     return state == State.CLOSED || state == State.RESPONSE_COMPLETE ? null : reader.nextMessage();
   }
 
@@ -158,7 +131,7 @@
   }
 
   private void handleErrorResponse(ByteBuf message) throws ProtocolException {
-    String sqlState = readSqlState(message);
+    String sqlState = ErrorResponseParser.parseSqlState(message);
     if (state == State.STARTUP) {
       state = State.CLOSED;
       AttemptOutcome outcome =
@@ -173,20 +146,6 @@
     }
   }
 
-  /** A malformed error is a violation, as an error can prove that the statement never ran. */
-  private static String readSqlState(ByteBuf message) throws ProtocolException {
-    String sqlState = "";
-    byte field = 1;
-    while (message.isReadable() && (field = message.readByte()) != 0) {
-      String value = CString.read(message);
-      sqlState = field == SQL_STATE_FIELD ? value : sqlState;
-    }
-    if (field != 0 || message.isReadable() || !SQL_STATE.matcher(sqlState).matches()) {
-      throw ProtocolException.protocolViolation("an error that cannot be read");
-    }
-    return sqlState;
-  }
-
   private void handleReadyForQuery(ByteBuf message) throws ProtocolException {
     if (message.readableBytes() != 1 || message.readByte() != TRANSACTION_STATUS_IDLE) {
       throw ProtocolException.protocolViolation("ReadyForQuery where none is expected");
@@ -214,7 +173,7 @@
     boolean wasInUse = previous == State.AWAITING_RESPONSE || previous == State.RESPONSE_COMPLETE;
     if (wasInUse && response.hasOutcome()) {
       listener.responseReceived(response.take(), false);
-    } else if (previous == State.AWAITING_RESPONSE && malformed) {
+    } else if (previous == State.AWAITING_RESPONSE && isMalformed) {
       response.release();
       listener.responseReceived(BackendResponse.withoutRow(AttemptOutcome.MALFORMED), false);
     } else if (previous != State.CLOSED) {
--- a/router/src/main/java/rushwood/protocol/CString.java
+++ b/router/src/main/java/rushwood/protocol/CString.java
@@ -7,7 +7,11 @@
 final class CString {
   private CString() {}
 
-  /** Reads a string and its zero byte. */
+  /**
+   * Reads a string and its zero byte.
+   *
+   * @throws ProtocolException that is fatal, if there is no zero byte
+   */
   static String read(ByteBuf message) throws ProtocolException {
     int start = message.readerIndex();
     int end = message.indexOf(start, message.writerIndex(), (byte) 0);
--- a/router/src/main/java/rushwood/protocol/FrontendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/FrontendProtocol.java
@@ -3,14 +3,15 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
-import java.nio.charset.StandardCharsets;
-import java.util.Locale;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import rushwood.dispatch.ClientResponder;
 
 /**
  * The server's side of PostgreSQL's protocol 3 on the connection of a client: simple queries only,
  * one request at a time. As at a database, what a client sends behind a request stays unread until
- * that request is answered.
+ * that request is answered. An answer that comes when no request is pending is dropped. Used on the
+ * event loop of the connection only.
  */
 public final class FrontendProtocol implements ClientResponder {
   private enum State {
@@ -29,57 +30,24 @@
     }
   }
 
-  /** Lengths in bytes. A value of 64 KiB takes 128 KiB in hexadecimal; as much again is spare. */
-  private static final int MAX_MESSAGE_LENGTH = 256 << 10;
-
-  private static final int MAX_STARTUP_LENGTH = 10_000; // PostgreSQL's own limit
-  private static final int STARTUP_TYPE = 0; // stands for messages without a type
-  private static final int EMPTY_BODY_LENGTH = 4;
-  private static final int VERSION_BYTES = 4;
-  private static final int CANCEL_KEY_BYTES = 8;
-
-  private static final int SSL_REQUEST_CODE = 80877103;
-  private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
-  private static final int CANCEL_REQUEST_CODE = 80877102;
-  private static final char ENCRYPTION_REFUSED = 'N';
-
-  private static final String SHOW_COUNTERS = "SHOW COUNTERS";
-  private static final int MAX_LOCAL_QUERY_LENGTH = SHOW_COUNTERS.length() + 2;
-
-  private static final ErrorResponse REQUEST_REJECTED =
-      ErrorResponse.error(SqlState.TOO_MANY_CONNECTIONS, "turned back: trying again is harmless");
-  private static final ErrorResponse REQUEST_FAILED =
-      ErrorResponse.error(SqlState.SYSTEM_ERROR, "given up: it may have run");
-  private static final ErrorResponse REQUEST_CANCELLED =
-      ErrorResponse.error(SqlState.QUERY_CANCELED, "canceling statement due to user request");
-  private static final ErrorResponse UNSUPPORTED_MESSAGE =
-      ErrorResponse.error(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries are taken");
-
   private final ByteBufAllocator allocator;
   private final FrontendCallbacks callbacks;
   private final MessageReader reader;
+  private final StartupHandshake handshake;
+  private final LocalStatements localStatements;
   private State state = State.STARTUP;
-  private ByteBuf statement; // of the request in state REQUEST_READ, else null
-  private boolean draining;
+  private @Nullable ByteBuf statement; // of the request in state REQUEST_READ
+  private boolean isDraining;
 
   /** Creates the protocol of a connection on which nothing has been read. */
   public FrontendProtocol(ByteBufAllocator allocator, FrontendCallbacks callbacks) {
     this.allocator = allocator;
     this.callbacks = callbacks;
-    reader = new MessageReader(allocator, FrontendProtocol::maxLength);
-  }
-
-  private static int maxLength(int type) {
-    return switch (type) {
-      case STARTUP_TYPE -> MAX_STARTUP_LENGTH;
-      case FrontendMessageType.TERMINATE, FrontendMessageType.SYNC -> EMPTY_BODY_LENGTH;
-      case FrontendMessageType.QUERY -> MAX_MESSAGE_LENGTH;
-      default -> FrontendMessageType.isUnsupported(type) ? MAX_MESSAGE_LENGTH : 0;
-    };
+    reader = new MessageReader(allocator, MessageLimits::ofClient);
+    handshake = new StartupHandshake(callbacks);
+    localStatements = new LocalStatements(callbacks);
   }
 
-  // ---- input
-
   /** Keeps input for {@link #resume}; takes the buffer over. */
   public void buffer(ByteBuf in) {
     reader.feed(in);
@@ -114,6 +82,18 @@
     }
   }
 
+  private void submitRequest() {
+    ByteBuf text = Objects.requireNonNull(statement, "comes with the state REQUEST_READ");
+    statement = null;
+    state = State.REQUEST_PENDING; // first: the answer may come within the call
+    try {
+      callbacks.submit(text);
+    } catch (ProtocolException rejection) {
+      callbacks.statementRejected(rejection);
+      answerError(ErrorResponse.of(rejection));
+    }
+  }
+
   /** Reads messages up to a request or the end of input; returns what is to be written. */
   private ByteBuf readMessages() {
     ByteBuf out = allocator.buffer(256);
@@ -138,56 +118,21 @@
     }
   }
 
-  private void submitRequest() {
-    ByteBuf text = statement;
-    statement = null;
-    state = State.REQUEST_PENDING; // first: the answer may come within the call
-    try {
-      callbacks.submit(text);
-    } catch (ProtocolException rejection) {
-      callbacks.statementRejected(rejection);
-      answerError(ErrorResponse.of(rejection));
-    }
-  }
-
   /** Returns whether a whole message was read. */
   private boolean readStartupMessage(ByteBuf out) throws ProtocolException {
     ByteBuf message = reader.nextStartupMessage();
     if (message == null) {
       return false;
     }
-    if (message.readableBytes() < VERSION_BYTES) {
-      throw ProtocolException.protocolViolation("a startup message without a version");
-    }
-    int version = message.readInt();
-    switch (version) {
-      case SSL_REQUEST_CODE, GSS_ENCRYPTION_REQUEST_CODE -> out.writeByte(ENCRYPTION_REFUSED);
-      case CANCEL_REQUEST_CODE -> handleCancelRequest(message);
-      default -> startSession(version, out);
-    }
+    state =
+        switch (handshake.process(message, out)) {
+          case ENCRYPTION_REFUSED -> State.STARTUP;
+          case CANCEL_REQUESTED -> State.CLOSED;
+          case SESSION_STARTED -> State.IDLE;
+        };
     return true;
   }
 
-  /** Has no answer, by the protocol: nobody is to learn whether the key was right. */
-  private void handleCancelRequest(ByteBuf message) {
-    state = State.CLOSED;
-    if (message.readableBytes() == CANCEL_KEY_BYTES) {
-      callbacks.cancelRequest(message.readLong());
-    }
-  }
-
-  private void startSession(int version, ByteBuf out) throws ProtocolException {
-    if (version >> 16 != MessageWriter.PROTOCOL_VERSION >> 16) {
-      throw ProtocolException.fatal(
-          SqlState.FEATURE_NOT_SUPPORTED, "only version 3 of the protocol is spoken");
-    }
-    if (version != MessageWriter.PROTOCOL_VERSION) {
-      MessageWriter.writeNegotiateProtocolVersion(out);
-    }
-    MessageWriter.writeStartupResponse(out, callbacks.cancelKey());
-    state = State.IDLE;
-  }
-
   /** Returns whether a whole message was read. */
   private boolean readMessage(ByteBuf out) throws ProtocolException {
     ByteBuf message = reader.nextMessage();
@@ -206,7 +151,7 @@
       }
     } else if (state != State.SKIPPING_TO_SYNC && type != FrontendMessageType.FLUSH) {
       state = State.SKIPPING_TO_SYNC;
-      MessageWriter.writeErrorResponse(out, UNSUPPORTED_MESSAGE);
+      MessageWriter.writeErrorResponse(out, ClientErrors.UNSUPPORTED_MESSAGE);
     }
     return true;
   }
@@ -219,11 +164,10 @@
             SqlState.PROTOCOL_VIOLATION, "the query does not end with its zero");
       }
       ByteBuf text = message.slice(message.readerIndex(), end - message.readerIndex());
-      if (text.readableBytes() <= MAX_LOCAL_QUERY_LENGTH && answerLocally(text, out)) {
-        return;
+      if (!localStatements.answer(text, out)) {
+        statement = text;
+        state = State.REQUEST_READ;
       }
-      statement = text;
-      state = State.REQUEST_READ;
     } catch (ProtocolException rejection) {
       callbacks.statementRejected(rejection);
       MessageWriter.writeErrorResponse(out, ErrorResponse.of(rejection));
@@ -231,27 +175,6 @@
     }
   }
 
-  /** Answers the statements that need no host; returns whether this is one. */
-  private boolean answerLocally(ByteBuf text, ByteBuf out) throws ProtocolException {
-    String statement =
-        text.toString(StandardCharsets.UTF_8).replace(';', ' ').strip().toUpperCase(Locale.ROOT);
-    if (!statement.isEmpty() && !statement.equals(SHOW_COUNTERS)) {
-      return false;
-    }
-    if (statement.equals(SHOW_COUNTERS)) {
-      MessageWriter.writeRowDescription(out, "counter", "value");
-      MessageWriter.writeCommandComplete(out, "SELECT " + callbacks.writeCounters(out));
-    } else if (callbacks.isReady()) {
-      MessageWriter.writeEmptyQueryResponse(out);
-    } else {
-      throw ProtocolException.rejected(SqlState.CANNOT_CONNECT_NOW, "not ready yet");
-    }
-    MessageWriter.writeReadyForQuery(out);
-    return true;
-  }
-
-  // ---- answers; one that comes when no request is pending is dropped
-
   @Override
   public void sendResult(ByteBuf row) {
     ByteBuf ready = allocator.buffer(6);
@@ -261,7 +184,7 @@
 
   @Override
   public void sendRejection(long retryAfterNanos) {
-    ErrorResponse rejection = REQUEST_REJECTED.withRetryAfter(retryAfterNanos);
+    ErrorResponse rejection = ClientErrors.REQUEST_REJECTED.withRetryAfter(retryAfterNanos);
     if (rejection.hasRetryAfter()) {
       callbacks.retryAfterAnnounced();
     }
@@ -270,12 +193,12 @@
 
   @Override
   public void sendFailure() {
-    answerError(REQUEST_FAILED);
+    answerError(ClientErrors.REQUEST_FAILED);
   }
 
   /** The pending request was cancelled by a CancelRequest; its client still expects an answer. */
   public void answerCancelled() {
-    answerError(REQUEST_CANCELLED);
+    answerError(ClientErrors.REQUEST_CANCELLED);
   }
 
   private void answerError(ErrorResponse error) {
@@ -294,13 +217,11 @@
     callbacks.write(out);
     if (reader.unreadBytes() > 0) {
       callbacks.resumeLater();
-    } else if (draining) {
+    } else if (isDraining) {
       closeIfDone(); // in the turn of the answer: a turn later the client may have sent a request
     }
   }
 
-  // ---- state, as the connection's limits need it
-
   /** Whether the connection has no request, and no part of a message was read. */
   public boolean isIdle() {
     return (state == State.IDLE || state == State.STARTUP) && reader.unreadBytes() == 0;
@@ -330,11 +251,9 @@
     return state == State.REQUEST_READ || state == State.REQUEST_PENDING;
   }
 
-  // ---- end of the connection
-
   /** Closes the connection as soon as it {@link #isIdle}, now or later. */
   public void drain() {
-    draining = true;
+    isDraining = true;
     if (isIdle()) {
       resume();
     }
@@ -356,7 +275,7 @@
   }
 
   private void closeIfDone() {
-    if (draining && isIdle()) {
+    if (isDraining && isIdle()) {
       state = State.CLOSED;
     }
     if (state == State.CLOSED) {
--- a/router/src/main/java/rushwood/protocol/MessageReader.java
+++ b/router/src/main/java/rushwood/protocol/MessageReader.java
@@ -4,6 +4,7 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.handler.codec.ByteToMessageDecoder;
 import java.util.function.IntUnaryOperator;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Cuts a stream of bytes into messages. Messages are slices of the buffer in which they arrived and
@@ -16,7 +17,7 @@
 
   private final ByteBufAllocator allocator;
   private final IntUnaryOperator maxLengthOfType;
-  private ByteBuf buffer;
+  private @Nullable ByteBuf buffer;
   private int type;
   private int scannedBytes; // of the unread bytes, those that hasMessageAhead has passed
 
@@ -41,21 +42,23 @@
   }
 
   /**
-   * The next message as one without a type, as a client's first; null if it is incomplete.
+   * The next message as one without a type, as a client's first, once it is complete.
    *
    * @return the body; not retained: valid until the reader is fed, emptied or closed
+   * @throws ProtocolException that is fatal, if its length is not allowed
    */
-  public ByteBuf nextStartupMessage() throws ProtocolException {
+  public @Nullable ByteBuf nextStartupMessage() throws ProtocolException {
     return cutMessage(NO_TYPE_BYTES);
   }
 
   /**
-   * The next message, null if it is incomplete. Its type is in {@link #type}.
+   * The next message, once it is complete. Its type is in {@link #type}.
    *
    * @return a slice of the whole message whose reader index is at the body; not retained: valid
    *     until the reader is fed, emptied or closed
+   * @throws ProtocolException that is fatal, if its type is unknown or its length not allowed
    */
-  public ByteBuf nextMessage() throws ProtocolException {
+  public @Nullable ByteBuf nextMessage() throws ProtocolException {
     return cutMessage(TYPE_BYTES);
   }
 
@@ -64,13 +67,15 @@
     return (char) type;
   }
 
-  private ByteBuf cutMessage(int typeBytes) throws ProtocolException {
-    int available = unreadBytes();
-    if (available == 0) {
+  private @Nullable ByteBuf cutMessage(int typeBytes) throws ProtocolException {
+    ByteBuf unread = buffer;
+    if (unread == null || !unread.isReadable()) {
       return null;
     }
-    int start = buffer.readerIndex();
-    int nextType = typeBytes == NO_TYPE_BYTES ? 0 : buffer.getUnsignedByte(start);
+    int available = unread.readableBytes();
+    int start = unread.readerIndex();
+    int nextType =
+        typeBytes == NO_TYPE_BYTES ? MessageLimits.STARTUP_TYPE : unread.getUnsignedByte(start);
     int maxLength = maxLengthOfType.applyAsInt(nextType);
     if (maxLength < LENGTH_FIELD_BYTES) {
       // Rejected by its first byte: the length that it claims may never arrive.
@@ -79,7 +84,7 @@
     if (available < typeBytes + LENGTH_FIELD_BYTES) {
       return null;
     }
-    int length = buffer.getInt(start + typeBytes);
+    int length = unread.getInt(start + typeBytes);
     if (length < LENGTH_FIELD_BYTES || length > maxLength) {
       throw ProtocolException.protocolViolation("a message of " + length + " bytes");
     }
@@ -88,7 +93,7 @@
     }
     type = nextType;
     scannedBytes = Math.max(0, scannedBytes - typeBytes - length);
-    ByteBuf message = buffer.readSlice(typeBytes + length);
+    ByteBuf message = unread.readSlice(typeBytes + length);
     return message.skipBytes(typeBytes + LENGTH_FIELD_BYTES);
   }
 
@@ -97,16 +102,17 @@
    * message is scanned once, however often this is called.
    */
   public boolean hasMessageAhead(char wantedType) {
-    while (unreadBytes() - scannedBytes > LENGTH_FIELD_BYTES) {
-      int offset = buffer.readerIndex() + scannedBytes;
-      int foundType = buffer.getUnsignedByte(offset);
-      int length = buffer.getInt(offset + TYPE_BYTES);
+    ByteBuf unread = buffer;
+    while (unread != null && unread.readableBytes() - scannedBytes > LENGTH_FIELD_BYTES) {
+      int offset = unread.readerIndex() + scannedBytes;
+      int foundType = unread.getUnsignedByte(offset);
+      int length = unread.getInt(offset + TYPE_BYTES);
       if (foundType == wantedType) {
         return true;
       }
       if (length < LENGTH_FIELD_BYTES
           || length > maxLengthOfType.applyAsInt(foundType)
-          || TYPE_BYTES + length > unreadBytes() - scannedBytes) {
+          || TYPE_BYTES + length > unread.readableBytes() - scannedBytes) {
         return false;
       }
       scannedBytes += TYPE_BYTES + length;
--- a/router/src/main/java/rushwood/protocol/ResponseAssembler.java
+++ b/router/src/main/java/rushwood/protocol/ResponseAssembler.java
@@ -4,6 +4,8 @@
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.CompositeByteBuf;
 import java.nio.charset.StandardCharsets;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
 import rushwood.api.HostRole;
@@ -27,13 +29,13 @@
 
   private final ByteBufAllocator allocator;
   private boolean isHealthCheck;
-  private CompositeByteBuf row; // owned until it is taken; null if there is none
+  private @Nullable CompositeByteBuf row; // owned until it is taken
   private char lastRowPart;
-  private String healthCheckValue; // the value of a health check's row, or null
-  private AttemptOutcome outcome; // null until the row or an error is complete
+  private @Nullable String healthCheckValue; // the value of a health check's row
+  private @Nullable AttemptOutcome outcome; // once the row or an error is complete
   private HostRole role = HostRole.UNKNOWN;
-  private long position;
-  private LoadReport report;
+  private long position = AttemptResult.NO_POSITION;
+  private LoadReport report = LoadReport.NONE;
 
   ResponseAssembler(ByteBufAllocator allocator) {
     this.allocator = allocator;
@@ -94,11 +96,13 @@
   }
 
   private void appendToRow(ByteBuf message) {
-    if (row == null) {
-      row = allocator.compositeBuffer(ROW_PARTS);
+    CompositeByteBuf parts = row;
+    if (parts == null) {
+      parts = allocator.compositeBuffer(ROW_PARTS);
+      row = parts;
     }
     message.readerIndex(0); // type and length stand before the body
-    row.addComponent(true, message.retainedSlice());
+    parts.addComponent(true, message.retainedSlice());
   }
 
   private static String columnValue(ByteBuf dataRow, int bodyStart) {
@@ -155,14 +159,23 @@
     };
   }
 
-  /** The response, whose row then belongs to the caller. Only if there is an outcome. */
+  /**
+   * The response, whose row then belongs to the caller.
+   *
+   * @throws NullPointerException if there is no outcome yet
+   */
   BackendResponse take() {
     if (healthCheckValue != null) {
       report = LoadReportParser.parse(healthCheckValue);
     }
     ByteBuf completeRow = row;
     row = null;
-    return new BackendResponse(outcome, completeRow, role, position, report);
+    return new BackendResponse(
+        Objects.requireNonNull(outcome, "the response is complete"),
+        completeRow,
+        role,
+        position,
+        report);
   }
 
   /** Releases the row unless it was taken. */
--- a/router/src/main/java/rushwood/protocol/package-info.java
+++ b/router/src/main/java/rushwood/protocol/package-info.java
@@ -10,4 +10,7 @@
  * <p>Nothing here is thread-safe: each object belongs to the event loop of its connection. Buffers
  * are reference-counted; who receives a buffer that is documented as taken over releases it.
  */
+@NullMarked
 package rushwood.protocol;
+
+import org.jspecify.annotations.NullMarked;
