--- a/router/src/main/java/rushwood/net/FrontendConnection.java
+++ b/router/src/main/java/rushwood/net/FrontendConnection.java
@@ -9,6 +9,7 @@
 import rushwood.dispatch.EventLoopClock;
 import rushwood.overload.ConnectionAdmission.AdmittedConnection;
 import rushwood.overload.ConnectionAdmission.ConnectionState;
+import rushwood.protocol.ClientErrors;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.FrontendCallbacks;
 import rushwood.protocol.FrontendProtocol;
@@ -35,16 +36,6 @@
   // within 3 s.
   private static final long MESSAGE_TIMEOUT_NANOS = 2_400_000_000L;
 
-  private static final ErrorResponse TOO_MANY_REJECTIONS =
-      ErrorResponse.fatal(SqlState.PROTOCOL_VIOLATION, "too many statements that cannot be taken");
-  private static final ErrorResponse TOO_MUCH_PIPELINED =
-      ErrorResponse.fatal(
-          SqlState.TOO_MANY_CONNECTIONS, "too much was written ahead of its answers");
-  private static final ErrorResponse OUT_OF_MEMORY =
-      ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "memory is short");
-  private static final ErrorResponse MESSAGE_TIMED_OUT =
-      ErrorResponse.fatal(SqlState.PROTOCOL_VIOLATION, "the message did not come in time");
-
   private final ConnectionContext shared;
   private final EventLoopClock clock;
   private final Counters counters;
@@ -139,7 +130,7 @@
       return;
     }
     if (rejections.isExceeded()) {
-      protocol.closeWithError(TOO_MANY_REJECTIONS);
+      protocol.closeWithError(ClientErrors.TOO_MANY_REJECTIONS);
       return;
     }
     protocol.resume();
@@ -151,12 +142,12 @@
   /** A pending request is never refused for want of memory, only what is incomplete. */
   private void enforceMemoryLimits() {
     if (pipelinedTooMuch && !protocol.hasPendingRequest() && !isLingering()) {
-      refuse(TOO_MUCH_PIPELINED);
+      refuse(ClientErrors.TOO_MUCH_PIPELINED);
     } else if (shared.statementMemory().isExhausted()
         && protocol.unreadBytes() > MAX_PIPELINED_BYTES_LOW_MEMORY
         && protocol.hasIncompleteMessage()
         && !isLingering()) {
-      refuse(OUT_OF_MEMORY);
+      refuse(ClientErrors.OUT_OF_MEMORY);
     }
   }
 
@@ -196,7 +187,7 @@
       channel.close();
     } else if (protocol.hasIncompleteMessage() && incompleteSince <= oldest) {
       counters.increment(Counter.CLIENTS_TIMED_OUT);
-      protocol.closeWithError(MESSAGE_TIMED_OUT);
+      protocol.closeWithError(ClientErrors.MESSAGE_TIMED_OUT);
     }
   }
 
--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -17,9 +17,9 @@
 import rushwood.overload.ConnectionAdmission;
 import rushwood.overload.ConnectionAdmission.AdmittedConnection;
 import rushwood.overload.DescriptorBudget;
+import rushwood.protocol.ClientErrors;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.MessageWriter;
-import rushwood.protocol.SqlState;
 
 /**
  * Accepts the connections of clients, closes idle ones where descriptors are short, and ends all of
@@ -45,11 +45,6 @@
           .respectMaybeMoreData(false)
           .maxMessagesPerRead(MAX_READS_PER_TURN);
 
-  private static final ErrorResponse SHUTTING_DOWN =
-      ErrorResponse.fatal(SqlState.CANNOT_CONNECT_NOW, "this router ends");
-  private static final ErrorResponse TOO_MANY_CONNECTIONS =
-      ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "too many connections");
-
   private final EventLoopClock clock;
   private final TimerQueue timers;
   private final Counters counters;
@@ -117,7 +112,8 @@
     if (draining) {
       refuseWhileDraining(channel);
     } else if (isAboveMargin(admission.openConnections()) && !evictNext()) {
-      refuse(channel, TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
+      refuse(
+          channel, ClientErrors.TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
     } else {
       accept(channel);
     }
@@ -131,7 +127,7 @@
     if (isAboveMargin(openConnections())) {
       channel.close();
     } else {
-      refuse(channel, SHUTTING_DOWN);
+      refuse(channel, ClientErrors.SHUTTING_DOWN);
     }
   }
 
@@ -189,7 +185,8 @@
         newest = admission.newestWithoutRequest()) {
       counters.increment(Counter.CLIENTS_REFUSED);
       connectionOf(newest)
-          .closeWithError(TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
+          .closeWithError(
+              ClientErrors.TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong()));
     }
   }
 
--- a/router/src/main/java/rushwood/protocol/ErrorResponse.java
+++ b/router/src/main/java/rushwood/protocol/ErrorResponse.java
@@ -32,7 +32,7 @@
   /** What tells a client why its input was not accepted. */
   public static ErrorResponse of(ProtocolException cause) {
     Severity severity = cause.isFatal() ? Severity.FATAL : Severity.ERROR;
-    return new ErrorResponse(severity, cause.sqlState(), cause.getMessage(), NO_RETRY_AFTER);
+    return new ErrorResponse(severity, cause.sqlState(), cause.reason(), NO_RETRY_AFTER);
   }
 
   /** The same error, with the time after which the client may try again. */
--- a/router/src/main/java/rushwood/protocol/LocalStatements.java
+++ b/router/src/main/java/rushwood/protocol/LocalStatements.java
@@ -10,7 +10,6 @@
  */
 final class LocalStatements {
   private static final String SHOW_COUNTERS = "SHOW COUNTERS";
-  private static final String EMPTY = "";
 
   /** With a semicolon and a space. */
   private static final int MAX_LENGTH = SHOW_COUNTERS.length() + 2;
@@ -37,7 +36,7 @@
         MessageWriter.writeRowDescription(out, "counter", "value");
         MessageWriter.writeCommandComplete(out, "SELECT " + callbacks.writeCounters(out));
       }
-      case EMPTY -> {
+      case "" -> {
         if (!callbacks.isReady()) {
           throw ProtocolException.rejected(SqlState.CANNOT_CONNECT_NOW, "not ready yet");
         }
