--- a/router/src/main/java/rushwood/net/ConnectionLimiter.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimiter.java
@@ -9,8 +9,8 @@
 import rushwood.overload.ConnectionAdmission;
 import rushwood.overload.DescriptorBudget;
 import rushwood.overload.EvictionDecision;
+import rushwood.protocol.ClientErrors;
 import rushwood.protocol.ErrorResponse;
-import rushwood.protocol.SqlState;
 
 /**
  * Keeps the connections of clients within the descriptor budget: closes and refuses those that
@@ -28,9 +28,6 @@
   // As many as are accepted in one turn.
   private static final int ACCEPT_MARGIN = 16;
 
-  private static final ErrorResponse TOO_MANY_CONNECTIONS =
-      ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "too many connections");
-
   private final EventLoopClock clock;
   private final TimerQueue timers;
   private final Counters counters;
@@ -66,7 +63,7 @@
 
   /** The error that tells a client that there are too many connections, and when to come back. */
   ErrorResponse tooManyConnections() {
-    return TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong());
+    return ClientErrors.TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong());
   }
 
   /** A connection was accepted, perhaps above the limit. */
--- a/router/src/main/java/rushwood/net/FrontendConnection.java
+++ b/router/src/main/java/rushwood/net/FrontendConnection.java
@@ -6,12 +6,12 @@
 import rushwood.dispatch.Counter;
 import rushwood.dispatch.Counters;
 import rushwood.dispatch.EventLoopClock;
+import rushwood.protocol.ClientErrors;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.FrontendCallbacks;
 import rushwood.protocol.FrontendProtocol;
 import rushwood.protocol.MessageWriter;
 import rushwood.protocol.ProtocolException;
-import rushwood.protocol.SqlState;
 import rushwood.protocol.SqlStatement;
 
 /**
@@ -22,10 +22,6 @@
  * channel and used on no other thread.
  */
 final class FrontendConnection extends LingeringClose implements FrontendCallbacks {
-  private static final ErrorResponse TOO_MANY_REJECTIONS =
-      ErrorResponse.fatal(SqlState.PROTOCOL_VIOLATION, "too many statements that cannot be taken");
-  private static final ErrorResponse MESSAGE_TIMED_OUT =
-      ErrorResponse.fatal(SqlState.PROTOCOL_VIOLATION, "the message did not come in time");
 
   private final EventLoopClock clock;
   private final Counters counters;
@@ -110,7 +106,7 @@
       return;
     }
     if (submitter.hasTooManyRejections()) {
-      protocol.closeWithError(TOO_MANY_REJECTIONS);
+      protocol.closeWithError(ClientErrors.TOO_MANY_REJECTIONS);
       return;
     }
     protocol.resume();
@@ -159,7 +155,7 @@
       case UNREAD_ANSWER -> channel.close();
       case INCOMPLETE_MESSAGE -> {
         counters.increment(Counter.CLIENTS_TIMED_OUT);
-        protocol.closeWithError(MESSAGE_TIMED_OUT);
+        protocol.closeWithError(ClientErrors.MESSAGE_TIMED_OUT);
       }
       case NONE -> {}
     }
--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -14,9 +14,9 @@
 import rushwood.dispatch.RequestDispatcher;
 import rushwood.dispatch.TimerQueue;
 import rushwood.overload.ConnectionAdmission;
+import rushwood.protocol.ClientErrors;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.MessageWriter;
-import rushwood.protocol.SqlState;
 
 /**
  * Accepts the connections of clients, closes those that take too long, and ends all of them on
@@ -42,9 +42,6 @@
           .respectMaybeMoreData(false)
           .maxMessagesPerRead(MAX_READS_PER_TURN);
 
-  private static final ErrorResponse SHUTTING_DOWN =
-      ErrorResponse.fatal(SqlState.CANNOT_CONNECT_NOW, "this router ends");
-
   private final RequestDispatcher dispatcher;
   private final EventLoopClock clock;
   private final TimerQueue timers;
@@ -110,7 +107,7 @@
     if (limiter.isAboveMargin(openConnections())) {
       channel.close();
     } else {
-      refuse(channel, SHUTTING_DOWN);
+      refuse(channel, ClientErrors.SHUTTING_DOWN);
     }
   }
 
--- a/router/src/main/java/rushwood/net/InputLimit.java
+++ b/router/src/main/java/rushwood/net/InputLimit.java
@@ -1,9 +1,9 @@
 package rushwood.net;
 
 import org.jspecify.annotations.Nullable;
+import rushwood.protocol.ClientErrors;
 import rushwood.protocol.ErrorResponse;
 import rushwood.protocol.FrontendProtocol;
-import rushwood.protocol.SqlState;
 
 /**
  * Limits the unread input of one client, and counts what is held for it in the {@link
@@ -28,12 +28,6 @@
   private static final int MAX_PIPELINED_BYTES = 1 << 20;
   private static final int MAX_PIPELINED_BYTES_LOW_MEMORY = 64 << 10;
 
-  private static final ErrorResponse TOO_MUCH_PIPELINED =
-      ErrorResponse.fatal(
-          SqlState.TOO_MANY_CONNECTIONS, "too much was written ahead of its answers");
-  private static final ErrorResponse OUT_OF_MEMORY =
-      ErrorResponse.fatal(SqlState.TOO_MANY_CONNECTIONS, "memory is short");
-
   private final StatementMemory statementMemory;
   private int countedBytes; // what this client has added to the statement memory
   private boolean exceeded;
@@ -63,13 +57,13 @@
   /** The error with which the connection has to end now, if it has to. */
   @Nullable ErrorResponse violation(FrontendProtocol protocol) {
     if (exceeded && !protocol.hasPendingRequest()) {
-      return TOO_MUCH_PIPELINED;
+      return ClientErrors.TOO_MUCH_PIPELINED;
     }
     boolean holdsTooMuch =
         statementMemory.isExhausted()
             && protocol.unreadBytes() > MAX_PIPELINED_BYTES_LOW_MEMORY
             && protocol.hasIncompleteMessage();
-    return holdsTooMuch ? OUT_OF_MEMORY : null;
+    return holdsTooMuch ? ClientErrors.OUT_OF_MEMORY : null;
   }
 
   /** Counts what is held for this client now: unread input and the pending request. */
