--- a/router/src/main/java/rushwood/discovery/DiscoveryClient.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryClient.java
@@ -61,9 +61,9 @@
    *
    * @param address the agent's
    * @param drainGraceNanos time after which a leaving endpoint may get nothing new
-   * @param heldVersion version of the list held from an earlier process, 0 for none
+   * @param lastKnownVersion version of the list held from an earlier process, 0 for none
    */
-  public record Settings(InetSocketAddress address, long drainGraceNanos, long heldVersion) {}
+  public record Settings(InetSocketAddress address, long drainGraceNanos, long lastKnownVersion) {}
 
   private final EventLoop loop;
   private final EventLoopClock clock;
@@ -90,7 +90,7 @@
     address = settings.address();
     refreshPolicy =
         new EndpointRefreshPolicy(
-            settings.drainGraceNanos(), settings.heldVersion(), random, new HttpTransport());
+            settings.drainGraceNanos(), settings.lastKnownVersion(), random, new HttpTransport());
   }
 
   /** Polls the agent at once, then keeps the list current. */
@@ -159,7 +159,7 @@
       parser =
           watch
               ? EndpointListParser.forWatch()
-              : EndpointListParser.forPoll(refreshPolicy.skippableVersion(), cachedChecksum);
+              : EndpointListParser.forPoll(refreshPolicy.cachedVersion(), cachedChecksum);
     }
 
     /** Connects without a time limit: the policy closes a request that takes too long. */
--- a/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
+++ b/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
@@ -13,7 +13,7 @@
  * request has brought it. So the complete list is polled first, then its changes are watched. As
  * the heartbeats of a watch do not prove that it still delivers changes, the complete list is also
  * polled again at intervals that follow from the grace. {@link PollSchedule} has the times, {@link
- * ListVersionTracker} rejects old lists.
+ * ListAcceptancePolicy} rejects old lists.
  *
  * <p>No I/O. Times are nanoseconds of the caller's clock and must not go back. Not thread-safe: all
  * calls come from the event loop that runs the {@link Transport}.
@@ -76,7 +76,7 @@
   private final Transport transport;
   private final PollSchedule schedule;
   private final List<OpenRequest> openRequests = new ArrayList<>(MAX_OPEN_REQUESTS);
-  private final ListVersionTracker versions;
+  private final ListAcceptancePolicy versions;
   private OpenRequest poll; // null if none is open; never one to a former agent
   private OpenRequest watch; // null if none is open
   private int nextRequestNumber;
@@ -92,12 +92,12 @@
   public EndpointRefreshPolicy(
       long drainGraceNanos, long version, RandomGenerator random, Transport transport) {
     this.transport = transport;
-    versions = new ListVersionTracker(version);
+    versions = new ListAcceptancePolicy(version);
     schedule = new PollSchedule(drainGraceNanos, random);
   }
 
   /** The version that a poll made now need not decode again; empty if any list is wanted. */
-  public OptionalLong skippableVersion() {
+  public OptionalLong cachedVersion() {
     return listUncertain ? OptionalLong.empty() : versions.currentAgentVersion();
   }
 
--- a/router/src/main/java/rushwood/discovery/ListVersionTracker.java
+++ b/router/src/main/java/rushwood/discovery/ListAcceptancePolicy.java
@@ -9,9 +9,9 @@
  * or come from an agent that has lost its state, so it is accepted only if the agent keeps sending
  * such lists. Versions of different agents do not compare.
  */
-final class ListVersionTracker {
+final class ListAcceptancePolicy {
   /** After so many complete lists of an older version in a row, the older version is accepted. */
-  private static final int OLDER_LISTS_UNTIL_ACCEPTED = 3;
+  private static final int OLDER_LISTS_UNTIL_APPLIED = 3;
 
   private long version;
   private boolean agentChanged;
@@ -24,7 +24,7 @@
    * @param version version of the list held from an earlier process, 0 for none; the lists of the
    *     first agent compare with it
    */
-  ListVersionTracker(long version) {
+  ListAcceptancePolicy(long version) {
     this.version = version;
   }
 
@@ -58,7 +58,7 @@
       if (complete) {
         consecutiveOlderLists++;
       }
-      if (!complete || consecutiveOlderLists < OLDER_LISTS_UNTIL_ACCEPTED) {
+      if (!complete || consecutiveOlderLists < OLDER_LISTS_UNTIL_APPLIED) {
         return false;
       }
     }
--- a/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
+++ b/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
@@ -187,7 +187,7 @@
         agent.policy.listReceived(
             agent.now * MILLISECOND, watch, false, OptionalLong.of(12), true));
     assertEquals(
-        OptionalLong.empty(), agent.policy.skippableVersion(), "the next list is decoded in full");
+        OptionalLong.empty(), agent.policy.cachedVersion(), "the next list is decoded in full");
     int before = agent.pollTimes.size();
     agent.runFor(600);
     assertEquals(before + 1, agent.pollTimes.size());
@@ -213,11 +213,11 @@
     SimulatedAgent agent = new SimulatedAgent(10_000, 40, 5).start();
     agent.wellFormed = false;
     agent.runFor(10);
-    assertEquals(OptionalLong.empty(), agent.policy.skippableVersion());
+    assertEquals(OptionalLong.empty(), agent.policy.cachedVersion());
     agent.wellFormed = true;
     agent.runFor(2010);
     assertEquals(2, agent.pollTimes.size());
-    assertEquals(OptionalLong.of(41), agent.policy.skippableVersion());
+    assertEquals(OptionalLong.of(41), agent.policy.cachedVersion());
   }
 
   /** The agent's load stays bounded, and 100 routers that start together do not stay in step. */
--- a/router/src/test/java/rushwood/discovery/ListVersionTrackerTest.java
+++ b/router/src/test/java/rushwood/discovery/ListAcceptancePolicyTest.java
@@ -7,8 +7,8 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-class ListVersionTrackerTest {
-  private final ListVersionTracker versions = new ListVersionTracker(10);
+class ListAcceptancePolicyTest {
+  private final ListAcceptancePolicy versions = new ListAcceptancePolicy(10);
 
   private boolean acceptComplete(long version) {
     return versions.accept(true, OptionalLong.of(version), true);
