--- a/router/src/main/java/rushwood/discovery/DiscoveryClient.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryClient.java
@@ -72,7 +72,6 @@
   private final EndpointRefreshPolicy refreshPolicy;
   private final Map<Integer, DiscoveryRequest> openRequests = new HashMap<>();
   private InetSocketAddress address;
-  private long cachedChecksum; // of the last complete list that was applied
   private TimerQueue.ScheduledTask wakeup;
 
   /** Creates a client that does nothing until {@link #start}. */
@@ -159,7 +158,8 @@
       parser =
           watch
               ? EndpointListParser.forWatch()
-              : EndpointListParser.forPoll(refreshPolicy.cachedVersion(), cachedChecksum);
+              : EndpointListParser.forPoll(
+                  refreshPolicy.cachedVersion(), refreshPolicy.cachedChecksum());
     }
 
     /** Connects without a time limit: the policy closes a request that takes too long. */
@@ -250,16 +250,11 @@
 
     private void accept(EndpointList list) {
       list.problems().forEach(listener::problemFound);
-      EndpointRefreshPolicy.Acceptance acceptance =
-          refreshPolicy.listReceived(
-              clock.now(), number, list.complete(), list.version(), list.problems().isEmpty());
-      if (acceptance == EndpointRefreshPolicy.Acceptance.LEAVING_ENDPOINTS) {
-        reportLeaving(list.leavingEndpoints());
-      } else if (list.unchanged()) {
-        listener.listUnchanged();
-      } else {
-        cachedChecksum = list.complete() ? list.checksum() : cachedChecksum;
-        listener.listReceived(list);
+      switch (refreshPolicy.listReceived(clock.now(), number, list)) {
+        case IGNORED_REQUEST_CLOSED, IGNORED_OLDER_VERSION ->
+            reportLeaving(list.leavingEndpoints());
+        case UNCHANGED -> listener.listUnchanged();
+        case APPLIED -> listener.listReceived(list);
       }
     }
 
--- a/router/src/main/java/rushwood/discovery/EndpointList.java
+++ b/router/src/main/java/rushwood/discovery/EndpointList.java
@@ -33,6 +33,11 @@
         OptionalLong.of(version), true, true, checksum, List.of(), List.of(), List.of());
   }
 
+  /** Whether all of it could be read. */
+  boolean isWellFormed() {
+    return problems.isEmpty();
+  }
+
   /** The entries that are draining or removed, those that could be read only in part first. */
   List<PartialEndpoint> leavingEndpoints() {
     return leavingEndpoints(endpoints, partialEndpoints);
--- a/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
+++ b/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
@@ -164,7 +164,7 @@
     int old = agent.watches.keySet().iterator().next();
     agent.receive(
         agent.policy.listReceived(
-            agent.now * MILLISECOND, old, false, OptionalLong.of(++agent.version), true));
+            agent.now * MILLISECOND, old, agent.list(false, ++agent.version)));
     assertEquals(42, agent.receivedVersion);
     agent.behavior = SimulatedAgent.Behavior.ANSWERS;
     agent.publishChange();
@@ -183,9 +183,8 @@
     agent.runFor(50);
     int watch = agent.watches.keySet().iterator().next();
     assertEquals(
-        EndpointRefreshPolicy.Acceptance.LEAVING_ENDPOINTS,
-        agent.policy.listReceived(
-            agent.now * MILLISECOND, watch, false, OptionalLong.of(12), true));
+        ListDecision.IGNORED_OLDER_VERSION,
+        agent.policy.listReceived(agent.now * MILLISECOND, watch, agent.list(false, 12)));
     assertEquals(
         OptionalLong.empty(), agent.policy.cachedVersion(), "the next list is decoded in full");
     int before = agent.pollTimes.size();
@@ -198,13 +197,11 @@
     assertEquals(5, agent.receivedVersion);
     agent.version = 4;
     assertEquals(
-        EndpointRefreshPolicy.Acceptance.LEAVING_ENDPOINTS,
+        ListDecision.IGNORED_OLDER_VERSION,
         agent.policy.listReceived(
             agent.now * MILLISECOND,
             agent.watches.keySet().iterator().next(),
-            true,
-            OptionalLong.of(4),
-            true));
+            agent.list(true, 4)));
   }
 
   /** A list that could not be read in full is polled within the interval and decoded again. */
--- a/router/src/test/java/rushwood/discovery/SimulatedAgent.java
+++ b/router/src/test/java/rushwood/discovery/SimulatedAgent.java
@@ -73,6 +73,18 @@
     wakeupAt = at;
   }
 
+  /** A list without entries, with a problem unless the agent's lists are well formed. */
+  EndpointList list(boolean complete, long listVersion) {
+    return new EndpointList(
+        OptionalLong.of(listVersion),
+        complete,
+        false,
+        0,
+        List.of(),
+        List.of(),
+        wellFormed ? List.of() : List.of("addr is missing or cannot be read"));
+  }
+
   /** The agent has a new version of the list from now on. */
   void publishChange() {
     version++;
@@ -80,8 +92,8 @@
   }
 
   /** The router has got the agent's current version. */
-  void receive(EndpointRefreshPolicy.Acceptance acceptance) {
-    if (acceptance == EndpointRefreshPolicy.Acceptance.ALL && receivedVersion < version) {
+  void receive(ListDecision decision) {
+    if (decision == ListDecision.APPLIED && receivedVersion < version) {
       receivedVersion = version;
       maxDelay = Math.max(maxDelay, now - publishedAt);
     }
@@ -105,9 +117,7 @@
     }
     switch (behavior) {
       case ANSWERS -> {
-        receive(
-            policy.listReceived(
-                now * MILLISECOND, requestNumber, true, OptionalLong.of(version), wellFormed));
+        receive(policy.listReceived(now * MILLISECOND, requestNumber, list(true, version)));
         policy.dataReceived(now * MILLISECOND, requestNumber, true);
         policy.responseCompleted(now * MILLISECOND, requestNumber);
       }
@@ -130,9 +140,7 @@
       }
     } else if (watches.get(requestNumber) < version) {
       watches.put(requestNumber, version);
-      receive(
-          policy.listReceived(
-              now * MILLISECOND, requestNumber, false, OptionalLong.of(version), wellFormed));
+      receive(policy.listReceived(now * MILLISECOND, requestNumber, list(false, version)));
       policy.dataReceived(now * MILLISECOND, requestNumber, true);
     } else if (now % HEARTBEAT_MILLIS == 0) {
       policy.dataReceived(now * MILLISECOND, requestNumber, true);
