--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -10,6 +10,7 @@
 import rushwood.config.OperatorSettings;
 import rushwood.config.RouterConfig;
 import rushwood.discovery.DiscoveryClient;
+import rushwood.discovery.DiscoveryConnector;
 import rushwood.discovery.EndpointList;
 import rushwood.dispatch.Counters;
 import rushwood.dispatch.EndpointAddress;
@@ -135,7 +136,7 @@
 
   private DiscoveryClient createDiscoveryClient(DiscoveryClient.Listener listener) {
     return new DiscoveryClient(
-        eventLoop,
+        new DiscoveryConnector(eventLoop),
         clock,
         timerQueue,
         new DiscoveryClient.Settings(
--- a/router/src/test/java/rushwood/ArchitectureTest.java
+++ b/router/src/test/java/rushwood/ArchitectureTest.java
@@ -49,7 +49,8 @@
   /** The only places that know channels and event loops. */
   private static final Set<String> PACKAGES_WITH_SOCKETS = Set.of("net", "server");
 
-  private static final Path DISCOVERY_CLIENT = SOURCES.resolve("discovery/DiscoveryClient.java");
+  private static final Path DISCOVERY_CONNECTOR =
+      SOURCES.resolve("discovery/DiscoveryConnector.java");
 
   private static final Pattern IMPORT = Pattern.compile("import (?:static )?([\\w.]+);");
   private static final Pattern OWN_IMPORT = Pattern.compile("rushwood\\.([a-z]+)\\..*");
@@ -120,7 +121,7 @@
     assertNone(
         found ->
             !PACKAGES_WITH_SOCKETS.contains(found.importingPackage())
-                && !found.file().equals(DISCOVERY_CLIENT)
+                && !found.file().equals(DISCOVERY_CONNECTOR)
                 && SOCKET_IMPORT.matcher(found.imported()).matches());
   }
 
