--- a/router/src/main/java/rushwood/api/GroupId.java
+++ b/router/src/main/java/rushwood/api/GroupId.java
@@ -2,6 +2,9 @@
 
 /** Names a group of hosts that hold the same data. */
 public record GroupId(int value) {
+  /** Stands for the group of a host or a request that names none. */
+  public static final GroupId UNKNOWN = new GroupId(-1);
+
   @Override
   public String toString() {
     return Integer.toString(value);
--- a/router/src/main/java/rushwood/discovery/EndpointEntryDecoder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointEntryDecoder.java
@@ -17,7 +17,6 @@
 public final class EndpointEntryDecoder {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final double DEFAULT_WEIGHT = 1;
-  private static final int UNKNOWN_GROUP = -1;
   private static final String UNKNOWN_ZONE = "";
 
   private EndpointEntryDecoder() {}
@@ -49,7 +48,7 @@
 
   /**
    * Decodes what matters of an entry that {@link #decode} rejects: the host and, if it is readable,
-   * the state (else null). Empty if not even the host can be read.
+   * the state. Empty if not even the host can be read.
    */
   static Optional<PartialEndpoint> decodePartial(JsonObject entry) {
     HostId id;
@@ -92,7 +91,7 @@
 
   private static GroupId decodeGroup(JsonObject entry) {
     return new GroupId(
-        (int) JsonFields.optionalNumber(entry, DiscoveryProtocol.GROUP, UNKNOWN_GROUP));
+        (int) JsonFields.optionalNumber(entry, DiscoveryProtocol.GROUP, GroupId.UNKNOWN.value()));
   }
 
   private static ZoneId decodeZone(JsonObject entry) {
--- a/router/src/main/java/rushwood/discovery/EndpointList.java
+++ b/router/src/main/java/rushwood/discovery/EndpointList.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import java.util.stream.Stream;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.Endpoint;
 import rushwood.dispatch.EndpointAddress;
 import rushwood.dispatch.PartialEndpoint;
@@ -12,7 +13,7 @@
  *
  * @param version the agent's version of the list, never negative; empty if it cannot be read
  * @param complete whether this is the complete list, not only the entries that changed
- * @param unchanged whether it equals the cached list; its entries were then not decoded
+ * @param unchanged whether it equals the list in force; its entries were then not decoded
  * @param checksum equal for lists of equal content, whatever their white space
  * @param endpoints the entries that could be decoded
  * @param partialEndpoints what could be read of the other entries
@@ -54,7 +55,7 @@
         .toList();
   }
 
-  private static boolean isLeaving(Endpoint.State state) {
+  private static boolean isLeaving(Endpoint.@Nullable State state) {
     return state == Endpoint.State.DRAINING || state == Endpoint.State.REMOVED;
   }
 }
--- a/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
@@ -24,7 +24,7 @@
   void addEntry(String json) {
     try {
       addEntry(JsonFields.parseObject(json));
-    } catch (IllegalArgumentException e) {
+    } catch (MalformedListException e) {
       addNonEntry();
     }
   }
@@ -57,7 +57,7 @@
     try {
       EndpointEntryDecoder.decodePartial(JsonFields.parseObject(json))
           .ifPresent(partialEndpoints::add);
-    } catch (IllegalArgumentException e) {
+    } catch (MalformedListException e) {
       // Cut inside a nested value: nothing of the entry can be told.
     }
   }
--- a/router/src/main/java/rushwood/discovery/EndpointListParser.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListParser.java
@@ -5,6 +5,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.List;
 import java.util.OptionalLong;
+import org.jspecify.annotations.Nullable;
 import rushwood.dispatch.PartialEndpoint;
 
 /**
@@ -57,9 +58,11 @@
   /**
    * Reads from {@code in} up to the end of the next list, which may have begun in earlier buffers.
    *
-   * @return the list, or null once {@code in} is used up
+   * @return the list; null once {@code in} is used up
+   * @throws UnreadableListException if what was read is no list or exceeds a bound; the next byte
+   *     is taken for the beginning of a list
    */
-  EndpointList next(ByteBuf in) throws UnreadableListException {
+  @Nullable EndpointList next(ByteBuf in) throws UnreadableListException {
     while (in.isReadable()) {
       int size = Math.min(in.readableBytes(), chunk.length);
       in.getBytes(in.readerIndex(), chunk, 0, size);
@@ -80,7 +83,11 @@
     return tokenizer.isBetweenLists();
   }
 
-  /** The response has ended; fails if that is in the middle of a list. */
+  /**
+   * The response has ended.
+   *
+   * @throws UnreadableListException if that is in the middle of a list
+   */
   void finish() throws UnreadableListException {
     if (!isBetweenLists()) {
       throw unreadable("it ends in the middle");
@@ -99,7 +106,7 @@
     JsonObject header;
     try {
       header = JsonFields.parseObject(tokenizer.header());
-    } catch (IllegalArgumentException e) {
+    } catch (MalformedListException e) {
       throw unreadable(e.getMessage());
     }
     if (isCached(header)) {
--- a/router/src/main/java/rushwood/discovery/InvalidFieldException.java
+++ b/router/src/main/java/rushwood/discovery/InvalidFieldException.java
@@ -4,11 +4,12 @@
 public final class InvalidFieldException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
   private final String field;
+  private final String reason;
 
-  /** The message is the field's name on the wire, then {@code reason}. */
   InvalidFieldException(String field, String reason) {
     super(field + " " + reason);
     this.field = field;
+    this.reason = reason;
   }
 
   /** For a field that is absent, of the wrong type or without a usable value. */
@@ -20,4 +21,15 @@
   public String field() {
     return field;
   }
+
+  /** What is wrong with the field, as the rest of a sentence that begins with it. */
+  public String reason() {
+    return reason;
+  }
+
+  /** The field, a space and the reason. */
+  @Override
+  public String getMessage() {
+    return field + " " + reason;
+  }
 }
--- a/router/src/main/java/rushwood/discovery/JsonFields.java
+++ b/router/src/main/java/rushwood/discovery/JsonFields.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
 
 /**
@@ -14,13 +15,13 @@
   /**
    * Parses one JSON object.
    *
-   * @throws IllegalArgumentException if {@code json} is not one
+   * @throws MalformedListException if {@code json} is not one
    */
-  static JsonObject parseObject(String json) {
+  static JsonObject parseObject(String json) throws MalformedListException {
     try {
       return JsonParser.parseString(json).getAsJsonObject();
-    } catch (RuntimeException e) {
-      throw new IllegalArgumentException("no JSON object: " + e.getMessage(), e);
+    } catch (JsonParseException | IllegalStateException e) { // no JSON, or JSON but no object
+      throw new MalformedListException("no JSON object: " + e.getMessage());
     }
   }
 
@@ -33,6 +34,7 @@
     return value.getAsString();
   }
 
+  /** A number, in any notation that {@link Double#parseDouble} takes. */
   static double requiredNumber(JsonObject object, String field) {
     try {
       return Double.parseDouble(requiredText(object, field));
@@ -47,6 +49,7 @@
     return absent ? defaultValue : requiredNumber(object, field);
   }
 
+  /** {@code true} or {@code false}. */
   static boolean requiredFlag(JsonObject object, String field) {
     return switch (requiredText(object, field)) {
       case "true" -> true;
--- a/router/src/main/java/rushwood/discovery/MalformedListException.java
+++ b/router/src/main/java/rushwood/discovery/MalformedListException.java
@@ -1,10 +1,17 @@
 package rushwood.discovery;
 
-/** The tokenizer cannot go on: bytes that are no list, or a bound that is exceeded. */
+/** What is read is no list or no entry: invalid JSON, or beyond a bound. */
 final class MalformedListException extends Exception {
   private static final long serialVersionUID = 1L;
+  private final String reason;
 
   MalformedListException(String reason) {
     super(reason);
+    this.reason = reason;
+  }
+
+  @Override
+  public String getMessage() {
+    return reason;
   }
 }
--- a/router/src/main/java/rushwood/discovery/PollSchedule.java
+++ b/router/src/main/java/rushwood/discovery/PollSchedule.java
@@ -3,13 +3,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When the complete list is polled: the intervals, timeouts and their jitter. All times are
- * nanoseconds of the caller's clock.
+ * When the complete list is polled. With G, how old the router's list may get (the drain grace, 4 s
+ * at most):
+ *
+ * <ul>
+ *   <li>after a complete response: {@link #pollCompleted}, in 3/8 G to G/2;
+ *   <li>after a list that could not be read in full: {@link #pollWithinInterval}, likewise;
+ *   <li>after a failure or a list that was ignored, and at the start: {@link #pollUrgently}, at
+ *       once, but G/8 to G/4 after the start of the last poll at the earliest;
+ *   <li>after a poll that did not respond, and at a new address: {@link #pollImmediately}, at once;
+ *   <li>a poll is closed that has sent nothing for G/4, or has taken four times that in all: {@link
+ *       #deadline}.
+ * </ul>
  *
- * <p>Every interval follows from how old the router's list may get: half of it between polls, a
- * quarter for the agent's response, an eighth to a quarter between failing polls. None of them
- * grows while the agent is down. The agent serves this router alone, so that there is no shared
- * server to protect, and a longer wait would break the bound.
+ * <p>No wait grows while the agent is down: it serves this router alone, so that there is no shared
+ * server to protect, and a longer wait would break the bound on the list's age. All times are
+ * nanoseconds of the caller's clock.
  */
 final class PollSchedule {
   /** The time of a poll that is not scheduled; later than any other. */
@@ -17,7 +26,7 @@
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Shortest interval at any drain grace: 40 polls a second take a few ms of a core. */
+  /** Shortest interval at any drain grace: 40 polls a second are no load for an agent nearby. */
   private static final long MIN_INTERVAL_NANOS = 25 * NANOS_PER_MILLI;
 
   /**
--- a/router/src/main/java/rushwood/simulator/EventDecoder.java
+++ b/router/src/main/java/rushwood/simulator/EventDecoder.java
@@ -18,7 +18,6 @@
 final class EventDecoder {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double NANOS_PER_MILLI = 1e6;
-  private static final int NO_GROUP = -1;
   private static final double DEFAULT_WEIGHT = 1;
 
   /** A stamp is four times the position in milliseconds, plus the role of the host. */
@@ -133,7 +132,7 @@
   }
 
   private static GroupId decodeGroup(WireLine line, String field) {
-    return new GroupId(line.has(field) ? line.requiredInt(field) : NO_GROUP);
+    return line.has(field) ? new GroupId(line.requiredInt(field)) : GroupId.UNKNOWN;
   }
 
   private static Endpoint.State decodeState(WireLine row) {
