--- a/router/src/main/java/rushwood/server/ConfigReloader.java
+++ b/router/src/main/java/rushwood/server/ConfigReloader.java
@@ -5,17 +5,30 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.LogLevel;
 import rushwood.config.InvalidConfigException;
 import rushwood.config.RouterConfig;
 import rushwood.dispatch.Counter;
+import rushwood.dispatch.Counters;
+import rushwood.dispatch.EventLoopClock;
+import rushwood.dispatch.TimerQueue;
 
 /**
- * Reads the configuration again on SIGHUP. The file is read on a thread of its own; all else runs
- * on the event loop.
+ * Reads the configuration again on SIGHUP:
+ *
+ * <ol>
+ *   <li>The file is read and decoded as a whole, on a thread of its own.
+ *   <li>A valid configuration is handed to a consumer on the event loop; {@link ConfigApplier} says
+ *       what of it takes effect and which state survives.
+ *   <li>An invalid one changes nothing. Its first invalid field is logged, and the file is read
+ *       again every half second for ten seconds, or until another SIGHUP: it may be half written.
+ * </ol>
+ *
+ * <p>Used on the event loop only, but for the reading.
  */
 final class ConfigReloader {
-  /** How long after a file could not be used it is read again, as it may have been half written. */
+  /** How long after a file could not be used it is read again. */
   private static final long RETRY_INTERVAL_NANOS = 500_000_000L;
 
   /** A file that stays invalid for ten seconds is not being written. */
@@ -23,9 +36,12 @@
 
   private final Map<String, String> environment;
   private final Executor eventLoop;
-  private final RouterComponents components;
+  private final EventLoopClock clock;
+  private final TimerQueue timerQueue;
+  private final Counters counters;
+  private final RateLimitedLogger logger;
   private final Consumer<RouterConfig> onConfigAccepted;
-  private ExecutorService reader; // created with the first signal
+  private @Nullable ExecutorService reader; // created with the first signal
   private int signalCount;
 
   /**
@@ -37,11 +53,17 @@
   ConfigReloader(
       Map<String, String> environment,
       Executor eventLoop,
-      RouterComponents components,
+      EventLoopClock clock,
+      TimerQueue timerQueue,
+      Counters counters,
+      RateLimitedLogger logger,
       Consumer<RouterConfig> onConfigAccepted) {
     this.environment = environment;
     this.eventLoop = eventLoop;
-    this.components = components;
+    this.clock = clock;
+    this.timerQueue = timerQueue;
+    this.counters = counters;
+    this.logger = logger;
     this.onConfigAccepted = onConfigAccepted;
   }
 
@@ -51,11 +73,19 @@
   }
 
   private void onHangUp() {
+    signalCount++;
+    read(signalCount, 1, "");
+  }
+
+  /**
+   * The reader's thread. It is a single one, so that results arrive in the order of the signals and
+   * an older configuration never replaces a newer one.
+   */
+  private Executor reader() {
     if (reader == null) {
       reader = Executors.newSingleThreadExecutor(ConfigReloader::newReaderThread);
     }
-    signalCount++;
-    read(signalCount, 1, "");
+    return reader;
   }
 
   private static Thread newReaderThread(Runnable task) {
@@ -64,24 +94,22 @@
     return thread;
   }
 
-  /**
-   * Reads the file on the reader's thread. That is a single thread, so that results arrive in the
-   * order of the signals and an older configuration never replaces a newer one.
-   */
   private void read(int signal, int attempt, String previousReason) {
-    reader.execute(
-        () -> {
-          try {
-            RouterConfig config = RouterConfig.readForReload(environment);
-            eventLoop.execute(() -> onAccepted(config));
-          } catch (InvalidConfigException e) {
-            eventLoop.execute(() -> onRejected(signal, attempt, previousReason, e.getMessage()));
-          }
-        });
+    reader()
+        .execute(
+            () -> {
+              try {
+                RouterConfig config = RouterConfig.readForReload(environment);
+                eventLoop.execute(() -> onAccepted(config));
+              } catch (InvalidConfigException e) {
+                eventLoop.execute(
+                    () -> onRejected(signal, attempt, previousReason, e.getMessage()));
+              }
+            });
   }
 
   private void onAccepted(RouterConfig config) {
-    components.counters().increment(Counter.CONFIGS_APPLIED);
+    counters.increment(Counter.CONFIGS_APPLIED);
     onConfigAccepted.accept(config);
   }
 
@@ -91,12 +119,12 @@
    */
   private void onRejected(int signal, int attempt, String previousReason, String reason) {
     if (!reason.equals(previousReason)) {
-      components.counters().increment(Counter.CONFIGS_REJECTED);
-      components.logger().log(LogLevel.WARN, "ignored the new configuration: " + reason);
+      counters.increment(Counter.CONFIGS_REJECTED);
+      logger.log(LogLevel.WARN, "ignored the new configuration: " + reason);
     }
     if (signal == signalCount && attempt < MAX_ATTEMPTS) {
-      long retryTime = components.clock().now() + RETRY_INTERVAL_NANOS;
-      components.timerQueue().schedule(retryTime, () -> retry(signal, attempt, reason));
+      long retryTime = clock.now() + RETRY_INTERVAL_NANOS;
+      timerQueue.schedule(retryTime, () -> retry(signal, attempt, reason));
     }
   }
 
--- a/router/src/main/java/rushwood/server/RouterServer.java
+++ b/router/src/main/java/rushwood/server/RouterServer.java
@@ -8,12 +8,11 @@
 import io.netty.channel.SingleThreadEventLoop;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
-import rushwood.api.LogLevel;
 import rushwood.config.OperatorSettings;
 import rushwood.config.RouterConfig;
 
@@ -43,9 +42,7 @@
   private final CountDownLatch firstListReceived = new CountDownLatch(1);
   private final CountDownLatch stopped = new CountDownLatch(1);
   private volatile boolean stopRequested;
-  private RouterComponents components; // set on the event loop before start() goes on
-  private Channel listener; // set under the lock, null until the router listens
-  private InetSocketAddress discoveryAddress; // used on the event loop only
+  private @Nullable Runnable shutdown; // set under the lock once the router listens
   private boolean stopping; // used on the event loop only
 
   /**
@@ -67,25 +64,40 @@
 
   /**
    * Warms the code up, starts the router and returns once it listens for clients. Returns without
-   * listening if {@link #stop} was called meanwhile.
+   * listening if {@link #stop} was called meanwhile. Called by the main thread.
    *
    * @throws Exception if the warm-up fails or the address cannot be bound
    */
   public void start() throws Exception {
     new Warmup(config, eventLoopGroup, eventLoop, ByteBufAllocator.DEFAULT).run();
-    eventLoop.submit(this::startComponents).get();
+    RouterComponents components = eventLoop.submit(this::startComponents).get();
     awaitEndpointList();
-    listen();
+    listen(components);
   }
 
-  private Void startComponents() {
-    RouterAssembler assembler = new RouterAssembler(config, operatorSettings, eventLoop);
-    components = assembler.assemble(firstListReceived::countDown);
-    discoveryAddress = config.discoveryAddress();
+  private RouterComponents startComponents() {
+    RouterComponents components =
+        new RouterAssembler(config, operatorSettings, eventLoop)
+            .assemble(firstListReceived::countDown);
     components.discoveryClient().start();
-    new ConfigReloader(environment, eventLoop, components, this::onConfigReloaded)
+    ConfigApplier applier =
+        new ConfigApplier(config, components.discoveryClient(), components.logger());
+    new ConfigReloader(
+            environment,
+            eventLoop,
+            components.clock(),
+            components.timerQueue(),
+            components.counters(),
+            components.logger(),
+            newConfig -> applyUnlessStopping(applier, newConfig))
         .listen(hangUpSignal);
-    return null;
+    return components;
+  }
+
+  private void applyUnlessStopping(ConfigApplier applier, RouterConfig newConfig) {
+    if (!stopping) {
+      applier.apply(newConfig);
+    }
   }
 
   /**
@@ -102,7 +114,7 @@
    * Binds the address. A stop that comes while this binds waits for it and then serves first, as
    * clients may have connected.
    */
-  private synchronized void listen() throws InterruptedException {
+  private synchronized void listen(RouterComponents components) throws InterruptedException {
     if (stopRequested) {
       return;
     }
@@ -114,45 +126,27 @@
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(components.frontend());
-    listener = bootstrap.bind(config.listenAddress()).sync().channel();
+    Channel listener = bootstrap.bind(config.listenAddress()).sync().channel();
+    shutdown = () -> startShutdown(components, listener);
     Logger.info("{} serves at {}", config.name(), listener.localAddress());
   }
 
-  /** Follows a new address of discovery; other changes are logged and need a restart. */
-  private void onConfigReloaded(RouterConfig newConfig) {
-    if (stopping) {
-      return;
-    }
-    RateLimitedLogger logger = components.logger();
-    config
-        .fieldsRequiringRestart(newConfig)
-        .forEach(
-            field ->
-                logger.log(
-                    LogLevel.WARN,
-                    "ignored the new value of " + field + ": it changes only at a restart"));
-    if (!newConfig.discoveryAddress().equals(discoveryAddress)) {
-      discoveryAddress = newConfig.discoveryAddress();
-      logger.log(LogLevel.INFO, "discovery is now at " + discoveryAddress);
-      components.discoveryClient().changeAddress(discoveryAddress);
-    }
-  }
-
   /**
    * Shuts down gracefully, see {@link ShutdownSequence}, and blocks until that is done; returns at
-   * once if the router does not listen yet. For the shutdown hook.
-   *
-   * <p>The event loop itself ends with the process: its own orderly end took up to a second.
+   * once if the router does not listen yet. Called by the shutdown hook; the event loop itself ends
+   * with the process.
    */
   public void stop() {
     stopRequested = true;
+    Runnable task;
     synchronized (this) {
-      if (listener == null) {
-        Logger.info("stopping before it serves");
-        return;
-      }
+      task = shutdown;
+    }
+    if (task == null) {
+      Logger.info("stopping before it serves");
+      return;
     }
-    eventLoop.execute(this::startShutdown);
+    eventLoop.execute(task);
     try {
       stopped.await();
     } catch (InterruptedException e) {
@@ -160,10 +154,25 @@
     }
   }
 
-  private void startShutdown() {
+  private void startShutdown(RouterComponents components, Channel listener) {
     stopping = true;
     Logger.info("stopping with {} requests open", components.dispatcher().unansweredRequests());
-    new ShutdownSequence(components, listener, config.maxRequestTimeoutNanos(), stopped::countDown)
+    new ShutdownSequence(
+            components.clock(),
+            components.timerQueue(),
+            components.dispatcher(),
+            components.frontend(),
+            config.maxRequestTimeoutNanos(),
+            () -> close(components, listener))
         .start();
   }
+
+  private void close(RouterComponents components, Channel listener) {
+    components.frontend().close();
+    listener.close();
+    components.discoveryClient().close();
+    components.dispatcher().close();
+    Logger.info("counters {}", components.counters());
+    stopped.countDown();
+  }
 }
--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -1,16 +1,25 @@
 package rushwood.server;
 
-import io.netty.channel.Channel;
-import org.tinylog.Logger;
+import rushwood.dispatch.EventLoopClock;
+import rushwood.dispatch.RequestDispatcher;
+import rushwood.dispatch.TimerQueue;
+import rushwood.net.FrontendServer;
 
 /**
- * The graceful shutdown of a router that serves clients.
+ * What happens between SIGTERM and exit. Times count from the signal; T is the longest that any
+ * client waits for an answer, but 3 s at most. The values on the right hold for T = 3 s.
  *
  * <ol>
- *   <li>Requests on open and on new connections are served for as long as their answers can be
- *       given in time.
- *   <li>Then connections without an open request are closed, the others once they are answered.
- *   <li>Once no connection is left, or the last answer is overdue, everything is closed.
+ *   <li>At once: the routing policy is told the time of the last answer, T + 0.5 s (3.5 s), by
+ *       which it answers every request that it holds. Connections are still accepted, and of those
+ *       that are open only ones without a request are closed to make room for others.
+ *   <li>Until T + 0.2 s (3.2 s), earlier by twice the longest recent pause of the process, but
+ *       never before 0.55 s: requests on open and on new connections are served as before.
+ *   <li>Then the drain: each connection is closed as soon as it has no request, and new ones are
+ *       refused. Checked every 50 ms.
+ *   <li>Once no connection is left, at T + 0.6 s (3.6 s) at the latest: all connections and the
+ *       listener are closed, the counters are logged, and the process exits.
+ *   <li>T + 0.7 s (3.7 s): the earliest SIGKILL.
  * </ol>
  *
  * <p>Used on the event loop only.
@@ -19,33 +28,31 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /**
-   * The platform sends SIGKILL no earlier than the longest request timeout, of which it counts this
-   * much at most, and {@link #KILL_GRACE_NANOS} after SIGTERM, however soon the process exits.
-   * Clients are served until then, as the load balancer in front of the routers goes on sending
-   * clients here for seconds: with connections closed after 0.55 s, half of the attempts to connect
-   * to two routers failed meanwhile.
+   * The platform sends SIGKILL this long plus the longest request timeout after SIGTERM, however
+   * soon the process exits, and counts {@link #MAX_COUNTED_REQUEST_TIMEOUT_NANOS} of the timeout at
+   * most. Clients are served until then, as the load balancer in front of the routers goes on
+   * sending them here.
    */
-  private static final long MAX_COUNTED_REQUEST_TIMEOUT_NANOS = 3000 * NANOS_PER_MILLI;
-
   private static final long KILL_GRACE_NANOS = 700 * NANOS_PER_MILLI;
 
+  private static final long MAX_COUNTED_REQUEST_TIMEOUT_NANOS = 3000 * NANOS_PER_MILLI;
+
   /** From the last answer to SIGKILL: covers a short suspension and the time to exit. */
   private static final long EXIT_RESERVE_NANOS = 200 * NANOS_PER_MILLI;
 
-  /** From the last request taken to the last answer: most requests are answered in less. */
-  private static final long LAST_REQUEST_RESERVE_NANOS = 300 * NANOS_PER_MILLI;
+  /** From the start of the drain to the last answer: most requests are answered in less. */
+  private static final long DRAIN_RESERVE_NANOS = 300 * NANOS_PER_MILLI;
 
   /**
-   * A process that is suspended just before it ends leaves the requests that come meanwhile without
-   * an answer. One that was suspended recently may be suspended again, so it takes its last request
-   * earlier by this many times the longest recent pause. The price is a longer time in which
-   * clients find no router.
+   * The drain starts earlier by this many times the longest recent pause: a process that was
+   * suspended lately may be again, and one that is suspended just before it ends leaves requests
+   * without an answer.
    */
-  private static final int PAUSES_RESERVED = 2;
+  private static final int RESERVED_PAUSES = 2;
 
   /**
-   * Connections are closed this long after SIGTERM at the earliest: new ones have stopped coming
-   * after 0.4 s, and the platform counts no request as lost that comes in the first 0.7 s.
+   * The drain starts this long after SIGTERM at the earliest: new connections still come for a
+   * while, and the platform counts no request as lost that comes in the first 0.7 s.
    */
   private static final long MIN_SERVING_NANOS = 550 * NANOS_PER_MILLI;
 
@@ -54,12 +61,14 @@
    */
   private static final long SIGNAL_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
-  /** Interval between two checks whether it is time to drain, or whether all is answered. */
-  private static final long POLL_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
+  /** Between two checks whether it is time to drain, or whether all is answered. */
+  private static final long CHECK_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
 
-  private final RouterComponents components;
-  private final Channel listener;
-  private final Runnable onStopped;
+  private final EventLoopClock clock;
+  private final TimerQueue timerQueue;
+  private final RequestDispatcher dispatcher;
+  private final FrontendServer frontend;
+  private final Runnable onDrained;
   private final long earliestDrainTime;
   private final long lastAnswerTime;
 
@@ -67,18 +76,23 @@
    * Plans the shutdown from the moment of the signal; {@link #start} begins it.
    *
    * @param maxRequestTimeoutNanos the longest that any client waits for an answer
-   * @param onStopped runs once everything is closed
+   * @param onDrained closes everything; runs once, when no connection is left or the last answer is
+   *     overdue
    */
   ShutdownSequence(
-      RouterComponents components,
-      Channel listener,
+      EventLoopClock clock,
+      TimerQueue timerQueue,
+      RequestDispatcher dispatcher,
+      FrontendServer frontend,
       long maxRequestTimeoutNanos,
-      Runnable onStopped) {
-    this.components = components;
-    this.listener = listener;
-    this.onStopped = onStopped;
+      Runnable onDrained) {
+    this.clock = clock;
+    this.timerQueue = timerQueue;
+    this.dispatcher = dispatcher;
+    this.frontend = frontend;
+    this.onDrained = onDrained;
     // A signal that came while the process was suspended may have come at the pause's start.
-    long signalTime = components.clock().earliestArrival(SIGNAL_DELAY_NANOS);
+    long signalTime = clock.earliestArrival(SIGNAL_DELAY_NANOS);
     long killTime =
         signalTime
             + Math.min(maxRequestTimeoutNanos, MAX_COUNTED_REQUEST_TIMEOUT_NANOS)
@@ -89,8 +103,8 @@
 
   /** Tells the parts that the router shuts down and serves on until it is time to drain. */
   void start() {
-    components.dispatcher().shuttingDown(lastAnswerTime);
-    components.frontend().shuttingDown();
+    dispatcher.shuttingDown(lastAnswerTime);
+    frontend.shuttingDown();
     serveUntilDrainTime();
   }
 
@@ -99,37 +113,29 @@
    * been read.
    */
   private void serveUntilDrainTime() {
-    long now = components.clock().now();
-    long pauseReserve = PAUSES_RESERVED * components.clock().recentLongestPause();
+    long now = clock.now();
+    long pauseReserve = RESERVED_PAUSES * clock.recentLongestPause();
     long drainTime =
-        Math.max(earliestDrainTime, lastAnswerTime - LAST_REQUEST_RESERVE_NANOS - pauseReserve);
+        Math.max(earliestDrainTime, lastAnswerTime - DRAIN_RESERVE_NANOS - pauseReserve);
     if (now >= drainTime) {
       drain();
     } else {
-      components
-          .timerQueue()
-          .schedule(Math.min(drainTime, now + POLL_INTERVAL_NANOS), this::serveUntilDrainTime);
+      timerQueue.schedule(
+          Math.min(drainTime, now + CHECK_INTERVAL_NANOS), this::serveUntilDrainTime);
     }
   }
 
+  /**
+   * Closes connections without a request until none is left. All requests have an answer by the
+   * last answer time; the interval after it lets the answers be written and the connections end.
+   */
   private void drain() {
-    components.frontend().drain();
-    // All requests have an answer by the last answer time; the interval after it lets the answers
-    // be written and the connections end.
-    long now = components.clock().now();
-    if (components.frontend().openConnections() > 0 && now < lastAnswerTime + POLL_INTERVAL_NANOS) {
-      components.timerQueue().schedule(now + POLL_INTERVAL_NANOS, this::drain);
-      return;
+    frontend.drain();
+    long now = clock.now();
+    if (frontend.openConnections() > 0 && now < lastAnswerTime + CHECK_INTERVAL_NANOS) {
+      timerQueue.schedule(now + CHECK_INTERVAL_NANOS, this::drain);
+    } else {
+      onDrained.run();
     }
-    close();
-  }
-
-  private void close() {
-    components.frontend().close();
-    listener.close();
-    components.discoveryClient().close();
-    components.dispatcher().close();
-    Logger.info("counters {}", components.counters());
-    onStopped.run();
   }
 }
