--- a/router/src/main/java/rushwood/config/InvalidConfigException.java
+++ b/router/src/main/java/rushwood/config/InvalidConfigException.java
@@ -1,6 +1,6 @@
 package rushwood.config;
 
-/** A setting that cannot be used. The message is one line: the field, a space and the reason. */
+/** A setting that cannot be used. */
 public final class InvalidConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -22,4 +22,10 @@
   public String reason() {
     return reason;
   }
+
+  /** Returns one line: the field, a space and the reason. */
+  @Override
+  public String getMessage() {
+    return field + " " + reason;
+  }
 }
--- a/router/src/main/java/rushwood/config/OperatorSettings.java
+++ b/router/src/main/java/rushwood/config/OperatorSettings.java
@@ -1,6 +1,7 @@
 package rushwood.config;
 
 import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -52,7 +53,7 @@
     JsonObject json;
     try {
       json = JsonParser.parseString(text).getAsJsonObject();
-    } catch (RuntimeException e) {
+    } catch (JsonParseException | IllegalStateException e) { // no JSON, or JSON but no object
       throw new InvalidConfigException("rushwood.json", "is no JSON object");
     }
     JsonSection root = new JsonSection("", json);
--- a/router/src/main/java/rushwood/config/RouterConfig.java
+++ b/router/src/main/java/rushwood/config/RouterConfig.java
@@ -66,6 +66,7 @@
    * Decodes what the routing policy reads from the object {@code settings} of a configuration.
    *
    * @throws InvalidConfigException for the first field that is missing or cannot be read
+   * @throws com.google.gson.JsonParseException if {@code json} is no JSON
    */
   public static RoutingSettings decodeSettings(String json) throws InvalidConfigException {
     return RouterConfigFile.settingsDecoder(JsonParser.parseString(json)).decodeSettings();
--- a/router/src/main/java/rushwood/config/RouterConfigFile.java
+++ b/router/src/main/java/rushwood/config/RouterConfigFile.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,6 +14,7 @@
 import rushwood.discovery.EndpointEntryDecoder;
 import rushwood.discovery.EndpointList;
 import rushwood.discovery.EndpointListParser;
+import rushwood.discovery.InvalidFieldException;
 
 /** The configuration file of a router, with the environment variables that precede its fields. */
 final class RouterConfigFile {
@@ -37,6 +39,12 @@
     this.root = root;
   }
 
+  /**
+   * Reads the file that {@code NODE_CONFIG} names.
+   *
+   * @throws InvalidConfigException if the variable is missing, or the file is missing or no JSON
+   *     object
+   */
   static RouterConfigFile open(Map<String, String> environment) throws InvalidConfigException {
     String file = environment.get(FILE_VARIABLE);
     if (file == null || file.isEmpty()) {
@@ -48,11 +56,16 @@
     } catch (IOException | InvalidPathException e) {
       throw new InvalidConfigException(
           FILE_VARIABLE, "names a file that cannot be read: " + e.getMessage());
-    } catch (RuntimeException e) {
+    } catch (JsonParseException | IllegalStateException e) { // no JSON, or JSON but no object
       throw new InvalidConfigException(FILE_VARIABLE, "names a file that is no JSON object");
     }
   }
 
+  /**
+   * Decodes the whole configuration.
+   *
+   * @throws InvalidConfigException for the first field that is missing or cannot be read
+   */
   RouterConfig decode() throws InvalidConfigException {
     SettingsDecoder settings = settingsDecoder(object(SETTINGS));
     return new RouterConfig(
@@ -91,7 +104,7 @@
   private InetSocketAddress address(String field, String variable) throws InvalidConfigException {
     try {
       return EndpointEntryDecoder.parseAddress(text(field, variable));
-    } catch (IllegalArgumentException e) {
+    } catch (InvalidFieldException e) {
       throw new InvalidConfigException(field, "is no address");
     }
   }
@@ -107,10 +120,13 @@
   private int maxSockets() throws InvalidConfigException {
     JsonElement value = object("limits").get("sockets");
     try {
-      return value.getAsInt();
-    } catch (RuntimeException e) {
-      throw new InvalidConfigException("limits.sockets", "is missing or no number");
+      if (value != null) {
+        return value.getAsInt();
+      }
+    } catch (NumberFormatException | UnsupportedOperationException | IllegalStateException e) {
+      // no number, an object or null, a list: reported below like a missing field
     }
+    throw new InvalidConfigException("limits.sockets", "is missing or no number");
   }
 
   private JsonObject object(String field) throws InvalidConfigException {
--- a/router/src/main/java/rushwood/config/package-info.java
+++ b/router/src/main/java/rushwood/config/package-info.java
@@ -6,4 +6,7 @@
  *
  * <p>Each error is an {@link rushwood.config.InvalidConfigException} that names the field.
  */
+@NullMarked
 package rushwood.config;
+
+import org.jspecify.annotations.NullMarked;
--- a/router/src/main/java/rushwood/simulator/EventDecoder.java
+++ b/router/src/main/java/rushwood/simulator/EventDecoder.java
@@ -124,7 +124,7 @@
     return new Endpoint(
         new HostId(row.requiredText("host")),
         decodeGroup(row, "group"),
-        new ZoneId(row.has("hall") ? row.optionalText("hall") : ""),
+        new ZoneId(row.textOr("hall", "")),
         row.has("nominal") ? row.requiredNumber("nominal") : DEFAULT_WEIGHT,
         row.has("up_since") ? row.requiredNanos("up_since") : 0,
         row.has("leads") && row.requiredNumber("leads") == 1,
--- a/router/src/main/java/rushwood/simulator/SimulatorAdapter.java
+++ b/router/src/main/java/rushwood/simulator/SimulatorAdapter.java
@@ -5,6 +5,7 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Serves the simulator's wire: reads batches of events, hands each event to the policy of its
@@ -49,8 +50,8 @@
     }
   }
 
-  /** Processes the next batch; returns the reply, or null at the end of input. */
-  private String processBatch() throws IOException {
+  /** Processes the next batch and returns the reply; null at the end of input. */
+  private @Nullable String processBatch() throws IOException {
     WireLine start = reader.readNonEmptyLine();
     if (start == null) {
       return null;
@@ -68,7 +69,7 @@
       }
     } catch (MalformedMessageException e) {
       return failureReply(e.getMessage(), e);
-    } catch (RuntimeException e) {
+    } catch (RuntimeException e) { // a fault of the policy: the simulator is to show it
       MalformedMessageException cause = new MalformedMessageException(e.toString());
       return failureReply(line.malformed("message", "met " + e).getMessage(), cause);
     }
--- a/router/src/main/java/rushwood/simulator/WireLine.java
+++ b/router/src/main/java/rushwood/simulator/WireLine.java
@@ -3,6 +3,7 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 import rushwood.config.DecimalSeconds;
 
 /**
@@ -43,8 +44,8 @@
     return optionalText(name) != null;
   }
 
-  /** Returns the value of the field, or null if there is none. */
-  String optionalText(String name) {
+  /** Returns the value of the field, null if there is none. */
+  @Nullable String optionalText(String name) {
     for (int i = 0; i < fieldCount; i++) {
       int start = fieldStarts[i];
       int equals = start + name.length();
@@ -55,6 +56,12 @@
     return null;
   }
 
+  /** Returns the value of the field, {@code defaultValue} if there is none. */
+  String textOr(String name, String defaultValue) {
+    String value = optionalText(name);
+    return value == null ? defaultValue : value;
+  }
+
   private int fieldEnd(int index) {
     return index + 1 < fieldCount ? fieldStarts[index + 1] - 1 : text.length();
   }
--- a/router/src/main/java/rushwood/simulator/WireReader.java
+++ b/router/src/main/java/rushwood/simulator/WireReader.java
@@ -5,6 +5,7 @@
 import java.io.InputStream;
 import java.io.InputStreamReader;
 import java.nio.charset.StandardCharsets;
+import org.jspecify.annotations.Nullable;
 
 /** Reads the lines of the simulator's wire, numbered from 1, and knows where a batch ends. */
 final class WireReader {
@@ -18,8 +19,8 @@
     input = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_SIZE);
   }
 
-  /** Returns the next line that is not empty, or null at the end of input. */
-  WireLine readNonEmptyLine() throws IOException {
+  /** Returns the next line that is not empty, null at the end of input. */
+  @Nullable WireLine readNonEmptyLine() throws IOException {
     WireLine line = readLine();
     while (line != null && line.messageType().isEmpty()) {
       line = readLine();
@@ -52,7 +53,7 @@
     return line.messageType().equals(BATCH_END);
   }
 
-  private WireLine readLine() throws IOException {
+  private @Nullable WireLine readLine() throws IOException {
     String text = input.readLine();
     lineNumber++;
     return text == null ? null : new WireLine(text, lineNumber);
--- a/router/src/main/java/rushwood/simulator/package-info.java
+++ b/router/src/main/java/rushwood/simulator/package-info.java
@@ -4,4 +4,7 @@
  * what they decide to standard output. No other package uses the words of that protocol, but {@code
  * rushwood.config} for the settings.
  */
+@NullMarked
 package rushwood.simulator;
+
+import org.jspecify.annotations.NullMarked;
