--- a/router/src/main/java/rushwood/server/EventLoopTimer.java
+++ b/router/src/main/java/rushwood/server/EventLoopTimer.java
@@ -3,12 +3,13 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import org.jspecify.annotations.Nullable;
 import rushwood.dispatch.TimerQueue;
 
 /** A one-shot timer on an event loop. Used on that event loop only. */
 final class EventLoopTimer implements TimerQueue.Timer {
   private final EventLoop eventLoop;
-  private Future<?> scheduled;
+  private @Nullable Future<?> scheduled;
   private boolean closed;
 
   EventLoopTimer(EventLoop eventLoop) {
--- a/router/src/main/java/rushwood/server/HangUpSignal.java
+++ b/router/src/main/java/rushwood/server/HangUpSignal.java
@@ -1,6 +1,7 @@
 package rushwood.server;
 
 import java.lang.reflect.Proxy;
+import org.jspecify.annotations.Nullable;
 
 /**
  * SIGHUP, handled from the first moment of the program on, as without a handler it ends the
@@ -10,7 +11,7 @@
  * <p>Signals come on a thread of the virtual machine; this object's lock guards its state.
  */
 public final class HangUpSignal {
-  private Runnable receiver;
+  private @Nullable Runnable receiver; // null until there is one
   private boolean pending;
 
   private HangUpSignal() {}
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -50,7 +50,9 @@
   private final RateLimitedLogger logger;
   private final DescriptorBudget descriptorBudget;
   private final RequestPathFactory requestPathFactory;
-  private OverloadController overloadController; // set by createDispatcher
+
+  @SuppressWarnings("NullAway.Init") // set by createPolicy, before createDispatcher returns
+  private OverloadController overloadController;
 
   RouterAssembler(
       RouterConfig config, OperatorSettings operatorSettings, SingleThreadEventLoop eventLoop) {
--- a/router/src/main/java/rushwood/server/Warmup.java
+++ b/router/src/main/java/rushwood/server/Warmup.java
@@ -51,11 +51,11 @@
    */
   private static final int MAX_REQUESTS = 6000;
 
-  /** A longer warm-up made restarts longer than it saved. */
+  /** A longer warm-up would delay the start by more than it saves. */
   private static final long MAX_DURATION_NANOS = 900_000_000;
 
   /** Interval between two checks whether the warm-up has sent enough requests. */
-  private static final long POLL_INTERVAL_NANOS = 10_000_000;
+  private static final long CHECK_INTERVAL_NANOS = 10_000_000;
 
   private final RouterConfig config;
   private final EventLoopGroup group;
@@ -64,8 +64,6 @@
   private final Counters counters = new Counters();
   private final EventLoopTimer timer;
   private final CompletableFuture<Counters> finished = new CompletableFuture<>();
-  private WarmupTraffic traffic; // set by run()
-  private RequestDispatcher dispatcher; // set by start()
 
   /**
    * Creates a warm-up with the settings that the real router has.
@@ -82,7 +80,11 @@
     timer = new EventLoopTimer(eventLoop);
   }
 
-  /** Runs the warm-up and blocks until it is over, for 0.9 s at most. */
+  /**
+   * Runs the warm-up and blocks until it is over, for 0.9 s at most.
+   *
+   * @throws Exception if the sockets cannot be created, or a part cannot be started
+   */
   void run() throws Exception {
     run(MAX_DURATION_NANOS);
   }
@@ -94,9 +96,10 @@
    */
   Counters run(long maxDurationNanos) throws Exception {
     Path folder = Files.createTempDirectory("warmup");
-    traffic = new WarmupTraffic(group, eventLoop, folder, config.settings().requestClasses());
+    WarmupTraffic traffic =
+        new WarmupTraffic(group, eventLoop, folder, config.settings().requestClasses());
     try {
-      eventLoop.submit(() -> start(maxDurationNanos)).get();
+      eventLoop.submit(() -> start(traffic, maxDurationNanos)).get();
       return finished.get();
     } finally {
       traffic.deleteSockets();
@@ -104,7 +107,7 @@
     }
   }
 
-  private void start(long maxDurationNanos) {
+  private void start(WarmupTraffic traffic, long maxDurationNanos) {
     long endTime = System.nanoTime() + maxDurationNanos;
     EventLoopClock clock = EventLoopClock.system(eventLoop::executeAfterEventLoopIteration);
     RequestPathFactory requestPathFactory =
@@ -115,9 +118,9 @@
             counters,
             new DescriptorBudget(WarmupTraffic.CLIENT_COUNT * DESCRIPTORS_PER_CLIENT),
             new ConnectBackoff(new SplittableRandom(config.seed()), true));
-    dispatcher =
+    RequestDispatcher dispatcher =
         requestPathFactory.createDispatcher(
-            createBackendConnector(),
+            createBackendConnector(traffic),
             (level, line) -> {}, // nothing is logged
             actions -> requestPathFactory.createPolicy(OverloadSettings.DEFAULT, actions));
     FrontendServer frontend =
@@ -128,10 +131,10 @@
             new SplittableRandom(config.seed()));
     dispatcher.endpointsReplaced(createEndpoints(), true);
     traffic.start(frontend);
-    awaitEnd(endTime);
+    awaitEnd(traffic, dispatcher, endTime);
   }
 
-  private BackendConnector createBackendConnector() {
+  private BackendConnector createBackendConnector(WarmupTraffic traffic) {
     return new BackendConnector(
         new Bootstrap().group(eventLoop).channel(NioDomainSocketChannel.class),
         address -> traffic.backendAddress(),
@@ -157,20 +160,21 @@
     return endpoints;
   }
 
-  private void awaitEnd(long endTime) {
+  private void awaitEnd(WarmupTraffic traffic, RequestDispatcher dispatcher, long endTime) {
     if (traffic.requestCount() < MAX_REQUESTS && System.nanoTime() < endTime) {
-      eventLoop.schedule(() -> awaitEnd(endTime), POLL_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
+      eventLoop.schedule(
+          () -> awaitEnd(traffic, dispatcher, endTime), CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     } else {
-      end();
+      end(traffic, dispatcher);
     }
   }
 
-  private void end() {
+  private void end(WarmupTraffic traffic, RequestDispatcher dispatcher) {
     timer.close();
     dispatcher.close();
     traffic.close();
     // Closing has taken effect on both sides a turn or two of the event loop later.
     eventLoop.schedule(
-        () -> finished.complete(counters), 2 * POLL_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
+        () -> finished.complete(counters), 2 * CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
   }
 }
--- a/router/src/main/java/rushwood/server/package-info.java
+++ b/router/src/main/java/rushwood/server/package-info.java
@@ -5,4 +5,7 @@
  * <p>{@link rushwood.server.RouterServer} is the entry point. Everything that it wires runs on a
  * single event loop; the few methods that other threads call say so.
  */
+@NullMarked
 package rushwood.server;
+
+import org.jspecify.annotations.NullMarked;
