--- a/router/src/main/java/rushwood/server/RateLimitedLogger.java
+++ b/router/src/main/java/rushwood/server/RateLimitedLogger.java
@@ -47,7 +47,7 @@
 
   private void startWindow() {
     if (suppressed > 0) {
-      Logger.warn("{} lines were suppressed", suppressed);
+      Logger.warn("suppressed {} log lines: over {} in a second", suppressed, MAX_LINES_PER_WINDOW);
     }
     windowStart = clock.now();
     logged = 0;
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -105,7 +105,7 @@
   private void logException(Throwable thrown) {
     List<StackTraceElement> frames =
         List.of(thrown.getStackTrace()).stream().limit(LOGGED_STACK_FRAMES).toList();
-    logger.log(LogLevel.ERROR, "caught " + thrown + " at " + frames);
+    logger.log(LogLevel.ERROR, "unexpected exception: " + thrown + " at " + frames);
   }
 
   private RequestDispatcher createDispatcher() {
@@ -158,7 +158,8 @@
     if (config.lastKnownEndpoints().isPresent()) {
       EndpointList list = config.lastKnownEndpoints().get();
       for (String problem : list.problems()) {
-        logger.log(LogLevel.WARN, "last known endpoint list: " + problem);
+        logger.log(
+            LogLevel.WARN, "ignored an invalid part of the last known endpoint list: " + problem);
       }
       endpoints = list.endpoints();
     }
--- a/router/src/main/java/rushwood/server/RouterServer.java
+++ b/router/src/main/java/rushwood/server/RouterServer.java
@@ -143,7 +143,7 @@
       task = shutdown;
     }
     if (task == null) {
-      Logger.info("stopping before it serves");
+      Logger.info("shutting down: not listening yet");
       return;
     }
     eventLoop.execute(task);
@@ -156,7 +156,8 @@
 
   private void startShutdown(RouterComponents components, Channel listener) {
     stopping = true;
-    Logger.info("stopping with {} requests open", components.dispatcher().unansweredRequests());
+    Logger.info(
+        "shutting down: {} requests in flight", components.dispatcher().unansweredRequests());
     new ShutdownSequence(
             components.clock(),
             components.timerQueue(),
--- a/router/src/test/java/rushwood/server/GracefulShutdownTest.java
+++ b/router/src/test/java/rushwood/server/GracefulShutdownTest.java
@@ -192,7 +192,7 @@
       busy.send(read("r1", 9000));
       nextStatement(replica);
       terminate();
-      awaitLogLine("stopping");
+      awaitLogLine("shutting down");
       try (TestClient late = new TestClient(port)) {
         late.send(write("w1"));
         assertEquals(SERVED, late.readResponse());
--- a/testbed/src/test/java/rushwood/testbed/MalformedEndpointListTest.java
+++ b/testbed/src/test/java/rushwood/testbed/MalformedEndpointListTest.java
@@ -104,7 +104,7 @@
       assertTrue(
           log.contains("discovery sent an endpoint list with an error") && log.contains("servers"),
           log);
-      assertFalse(log.contains("caught"), log);
+      assertFalse(log.contains("unexpected exception"), log);
     }
   }
 }
