--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -10,6 +10,7 @@
 import rushwood.config.OperatorSettings;
 import rushwood.config.RouterConfig;
 import rushwood.discovery.DiscoveryClient;
+import rushwood.discovery.DiscoveryConnector;
 import rushwood.discovery.EndpointList;
 import rushwood.dispatch.Counters;
 import rushwood.dispatch.EndpointAddress;
@@ -49,7 +50,9 @@
   private final RateLimitedLogger logger;
   private final DescriptorBudget descriptorBudget;
   private final RequestPathFactory requestPathFactory;
-  private OverloadController overloadController; // set by createDispatcher
+
+  @SuppressWarnings("NullAway.Init") // set by createPolicy, before createDispatcher returns
+  private OverloadController overloadController;
 
   RouterAssembler(
       RouterConfig config, OperatorSettings operatorSettings, SingleThreadEventLoop eventLoop) {
@@ -102,7 +105,7 @@
   private void logException(Throwable thrown) {
     List<StackTraceElement> frames =
         List.of(thrown.getStackTrace()).stream().limit(LOGGED_STACK_FRAMES).toList();
-    logger.log(LogLevel.ERROR, "caught " + thrown + " at " + frames);
+    logger.log(LogLevel.ERROR, "unexpected exception: " + thrown + " at " + frames);
   }
 
   private RequestDispatcher createDispatcher() {
@@ -135,7 +138,7 @@
 
   private DiscoveryClient createDiscoveryClient(DiscoveryClient.Listener listener) {
     return new DiscoveryClient(
-        eventLoop,
+        new DiscoveryConnector(eventLoop),
         clock,
         timerQueue,
         new DiscoveryClient.Settings(
@@ -155,7 +158,8 @@
     if (config.lastKnownEndpoints().isPresent()) {
       EndpointList list = config.lastKnownEndpoints().get();
       for (String problem : list.problems()) {
-        logger.log(LogLevel.WARN, "last known endpoint list: " + problem);
+        logger.log(
+            LogLevel.WARN, "ignored an invalid part of the last known endpoint list: " + problem);
       }
       endpoints = list.endpoints();
     }
