--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -8,20 +8,28 @@
 import static rushwood.protocol.TestMessages.parameterStatus;
 import static rushwood.protocol.TestMessages.readyForQuery;
 import static rushwood.protocol.TestMessages.rowResponse;
+import static rushwood.server.Statements.FAILED;
+import static rushwood.server.Statements.REJECTED;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.read;
+import static rushwood.server.Statements.write;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
 /** Backends that refuse requests, reset connections or cut their responses short. */
-class BackendFailureTest extends RouterProcessFixture {
+class BackendFailureTest {
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
+
   @Test
   void rejectsWhenBackendIsOverloaded() throws Exception {
     byte[] full = concat(errorResponse("53300"), readyForQuery());
-    primary.respondWith(full);
-    try (TestClient client = new TestClient(port)) {
+    router.primary().respondWith(full);
+    try (TestClient client = router.connect()) {
       assertEquals(REJECTED, client.query(write("w1", 300)));
     }
   }
@@ -29,11 +37,11 @@
   /** A response cut in mid-row proves nothing: a write fails, a read is retried on another host. */
   @Test
   void backendDisconnectsInMidRow() throws Exception {
-    primary.responder = statement -> message('T', new byte[] {0, 1});
-    replica.responder = statement -> message('T', new byte[] {0, 1});
-    try (TestClient client = new TestClient(port)) {
+    router.primary().responder = statement -> message('T', new byte[] {0, 1});
+    router.replica().responder = statement -> message('T', new byte[] {0, 1});
+    try (TestClient client = router.connect()) {
       assertEquals(FAILED, client.query(write("w1")));
-      primary.responder = statement -> StandInBackend.rowResponse("value", "master");
+      router.primary().responder = statement -> StandInBackend.rowResponse("value", "master");
       assertEquals(SERVED, client.query(read("r1")));
     }
   }
@@ -43,8 +51,8 @@
    */
   @Test
   void connectionResetWhileConnecting() throws Exception {
-    replica.resetsConnections = true;
-    try (TestClient client = new TestClient(port)) {
+    router.replica().resetsConnections = true;
+    try (TestClient client = router.connect()) {
       for (int i = 0; i < 20; i++) {
         assertEquals(SERVED, client.query(read("r" + i)));
       }
@@ -52,8 +60,7 @@
       assertTrue(counters.get(Counter.ATTEMPTS_NOT_SENT) > 0, counters::toString);
       assertEquals(0, counters.get(Counter.ATTEMPTS_CONNECT_FAILED), counters::toString);
     }
-    assertEquals(
-        List.of(), processOutput.stream().filter(line -> line.contains("UNREACHABLE")).toList());
+    assertEquals(List.of(), router.outputWith("UNREACHABLE"));
   }
 
   /**
@@ -64,14 +71,14 @@
   void idleBackendConnectionEnds() throws Exception {
     byte[] row = StandInBackend.rowResponse("v", "master");
     byte[] rowAndHalfMessage = concat(row, new byte[] {'N', 0, 0});
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       for (int i = 0; i < 60; i++) {
         boolean leavesHalfMessage = i % 2 == 0;
-        primary.keepsConnectionOpen = leavesHalfMessage;
-        primary.respondWith(leavesHalfMessage ? rowAndHalfMessage : row);
+        router.primary().keepsConnectionOpen = leavesHalfMessage;
+        router.primary().respondWith(leavesHalfMessage ? rowAndHalfMessage : row);
         assertEquals(SERVED, client.query(write("w" + i)), "write " + i);
         if (!leavesHalfMessage) {
-          primary.closeConnections();
+          router.primary().closeConnections();
         }
         Thread.sleep(i % 5);
       }
@@ -86,16 +93,18 @@
     byte[] readOnly =
         concat(errorResponse("25006"), parameterStatus("part", "replica"), readyForQuery());
     byte[] row = StandInBackend.rowResponse("v", "replica");
-    replica.responder = statement -> statement.startsWith("INSERT") ? readOnly : row;
+    router.replica().responder = statement -> statement.startsWith("INSERT") ? readOnly : row;
     byte[] report = concat(rowResponse("x0=1,x1=1"), readyForQuery());
-    primary.responder =
+    router.primary().responder =
         statement -> statement.startsWith("SHOW") ? report : new byte[0]; // and the connection ends
     long started = 0;
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       for (int i = 0; i < 10; i++) {
         String answer = client.query(write("w" + i));
         long executions =
-            primary.receivedStatements.stream().filter(each -> each.contains("id=w")).count()
+            router.primary().receivedStatements.stream()
+                    .filter(statement -> statement.contains("id=w"))
+                    .count()
                 - started;
         started += executions;
         assertTrue(
@@ -126,28 +135,28 @@
     int count = 0;
     for (byte[] truncated : List.of(halfRow, withoutCompletion)) {
       for (boolean keepsOpen : new boolean[] {false, true}) {
-        for (StandInBackend each : List.of(primary, replica)) {
-          each.keepsConnectionOpen = keepsOpen;
-          each.respondWith(truncated);
+        for (StandInBackend backend : List.of(router.primary(), router.replica())) {
+          backend.keepsConnectionOpen = keepsOpen;
+          backend.respondWith(truncated);
         }
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-          clients.add(new TestClient(port));
+          clients.add(router.connect());
           clients.get(i).send(read("cut" + count++, 400));
         }
-        for (TestClient each : clients) {
-          assertTrue(each.readResponse().startsWith("E("), "no value");
-          each.close();
+        for (TestClient client : clients) {
+          assertTrue(client.readResponse().startsWith("E("), "no value");
+          client.close();
         }
       }
     }
-    primary.keepsConnectionOpen = false;
-    replica.keepsConnectionOpen = false;
-    primary.respondWith(whole);
-    replica.respondWith(whole);
+    router.primary().keepsConnectionOpen = false;
+    router.replica().keepsConnectionOpen = false;
+    router.primary().respondWith(whole);
+    router.replica().respondWith(whole);
     Thread.sleep(600);
     for (int i = 0; i < 30; i++) {
-      try (TestClient client = new TestClient(port)) {
+      try (TestClient client = router.connect()) {
         assertEquals(SERVED, client.query(read("whole" + i)));
       }
     }
--- a/router/src/test/java/rushwood/server/ClientDisconnectTest.java
+++ b/router/src/test/java/rushwood/server/ClientDisconnectTest.java
@@ -6,6 +6,12 @@
 import static rushwood.protocol.TestMessages.message;
 import static rushwood.protocol.TestMessages.query;
 import static rushwood.protocol.TestMessages.startup;
+import static rushwood.server.RouterProcessFixture.awaitCounters;
+import static rushwood.server.Statements.EMPTY;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.largeWrite;
+import static rushwood.server.Statements.read;
+import static rushwood.server.Statements.write;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -15,6 +21,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
 /**
@@ -23,7 +30,7 @@
  * then backends take whatever they are sent. Attempts cannot be cancelled here, so that only those
  * that have not begun can be withheld.
  */
-class ClientDisconnectTest extends RouterProcessFixture {
+class ClientDisconnectTest {
   private static final int LONG_TIMEOUT_MILLIS = 8000; // half of it may be spent in the wait queue
 
   /** Longer than the 100 ms after the disconnect within which an attempt may still begin. */
@@ -31,26 +38,26 @@
 
   private static final int CLIENT_COUNT = 50;
 
+  @RegisterExtension
+  final RouterProcessFixture router =
+      RouterProcessFixture.startedWith(
+          settings -> settings.replace("\"may_cancel\":true", "\"may_cancel\":false"));
+
   private final List<TestClient> clients = new ArrayList<>();
 
   private interface ClientAction {
     void apply(TestClient client) throws Exception;
   }
 
-  @Override
-  String settingsJson() {
-    return super.settingsJson().replace("\"may_cancel\":true", "\"may_cancel\":false");
-  }
-
   @AfterEach
   void closeClients() throws IOException {
-    for (TestClient each : clients) {
-      each.close();
+    for (TestClient client : clients) {
+      client.close();
     }
   }
 
   private TestClient connectClient() throws IOException {
-    TestClient client = new TestClient(port);
+    TestClient client = router.connect();
     clients.add(client);
     return client;
   }
@@ -59,19 +66,18 @@
   private TestClient drainAllBackends() throws Exception {
     TestClient staying = connectClient();
     assertEquals(SERVED, staying.query(read("first")));
-    publishEndpoints(
-        endpointJson("a", primary, "Terminating"), endpointJson("b", replica, "Terminating"));
+    router.publishBackends("Terminating");
     // By the watch or by a poll, whichever comes first; the list of the start is the other one.
     awaitCounters(staying, counters -> counters.appliedEndpointLists() >= 2);
-    replica.receivedStatements.clear();
-    primary.receivedStatements.clear();
+    router.replica().receivedStatements.clear();
+    router.primary().receivedStatements.clear();
     return staying;
   }
 
   private void awaitAcceptedRequests(long requests) throws Exception {
-    try (TestClient observer = new TestClient(port)) {
+    try (TestClient observer = router.connect()) {
       CounterSnapshot counters =
-          awaitCounters(observer, each -> each.get(Counter.REQUESTS_RECEIVED) >= requests);
+          awaitCounters(observer, latest -> latest.get(Counter.REQUESTS_RECEIVED) >= requests);
       assertEquals(requests, counters.get(Counter.REQUESTS_RECEIVED));
     }
   }
@@ -88,20 +94,20 @@
       leaving.get(i).send(read("gone" + i, LONG_TIMEOUT_MILLIS));
     }
     awaitAcceptedRequests(CLIENT_COUNT + 1);
-    for (TestClient each : leaving) {
-      action.apply(each);
+    for (TestClient client : leaving) {
+      action.apply(client);
     }
     Thread.sleep(DISCONNECT_MILLIS);
     TestClient late = connectClient();
     late.send(read("stays", LONG_TIMEOUT_MILLIS));
     awaitAcceptedRequests(CLIENT_COUNT + 2);
-    publishEndpoints(endpointJson("a", primary, "Ready"), endpointJson("b", replica, "Ready"));
+    router.publishBackends("Ready");
     assertEquals(SERVED, late.readResponse());
     assertNothingSentForDisconnected();
   }
 
   private void assertNothingSentForDisconnected() {
-    assertEquals(List.of(), receivedWithId("gone"));
+    assertEquals(List.of(), router.receivedWithId("gone"));
   }
 
   @Test
@@ -152,8 +158,8 @@
   }
 
   private void sendCancelRequest(byte[] key) throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", port)) {
-      socket.setSoTimeout(TIMEOUT_MILLIS);
+    try (Socket socket = new Socket("127.0.0.1", router.port())) {
+      socket.setSoTimeout(Await.TIMEOUT_MILLIS);
       socket.getOutputStream().write(concat(new byte[] {0, 0, 0, 16, 4, -46, 22, 46}, key));
       assertEquals(-1, socket.getInputStream().read(), "a cancel request has no response");
     }
@@ -184,7 +190,7 @@
     for (byte[] key : List.of(wrong, new byte[8], staying.cancelKey, over.cancelKey)) {
       sendCancelRequest(key);
     }
-    publishEndpoints(endpointJson("a", primary, "Ready"), endpointJson("b", replica, "Ready"));
+    router.publishBackends("Ready");
     assertEquals(SERVED, waiting.readResponse());
     assertEquals(SERVED, staying.query(read("second")));
   }
@@ -198,10 +204,10 @@
             client -> sendCancelRequest(client.cancelKey),
             client -> client.sendBytes(message('X', new byte[0])))) {
       CountDownLatch connectionsOpen = new CountDownLatch(1);
-      replica.startupGate = connectionsOpen;
-      primary.startupGate = connectionsOpen;
-      replica.closeConnections();
-      primary.closeConnections();
+      router.replica().startupGate = connectionsOpen;
+      router.primary().startupGate = connectionsOpen;
+      router.replica().closeConnections();
+      router.primary().closeConnections();
       Thread.sleep(50);
       TestClient staying = connectClient();
       long before = staying.readCounters().get(Counter.REQUESTS_RECEIVED);
@@ -229,18 +235,18 @@
     for (int i = 0; i < CLIENT_COUNT; i++) {
       known.add(connectClient());
     }
-    sendSignal("STOP");
+    router.sendSignal("STOP");
     for (int i = 0; i < CLIENT_COUNT; i++) {
       known.get(i).send(read("gone-known" + i, LONG_TIMEOUT_MILLIS));
       known.get(i).close();
-      try (Socket unaccepted = new Socket("127.0.0.1", port)) {
+      try (Socket unaccepted = new Socket("127.0.0.1", router.port())) {
         unaccepted
             .getOutputStream()
             .write(concat(startup(), query(read("gone" + i, LONG_TIMEOUT_MILLIS))));
       }
     }
     Thread.sleep(DISCONNECT_MILLIS);
-    sendSignal("CONT");
+    router.sendSignal("CONT");
     assertEquals(SERVED, staying.query(read("second")));
     Thread.sleep(100);
     assertNothingSentForDisconnected();
@@ -250,7 +256,7 @@
   @Test
   void disconnectWhileASlotIsReleased() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    primary.responder =
+    router.primary().responder =
         StandInBackend.respondBehind(
             release, statement -> StandInBackend.rowResponse("v", "master"));
     connectClient(); // stays connected
@@ -261,19 +267,21 @@
     }
     awaitAcceptedRequests(CLIENT_COUNT);
     Thread.sleep(DISCONNECT_MILLIS);
-    sendSignal("STOP");
+    router.sendSignal("STOP");
     release.countDown();
-    for (TestClient each : waiting) {
-      each.close();
+    for (TestClient client : waiting) {
+      client.close();
     }
     Thread.sleep(DISCONNECT_MILLIS);
-    List<String> started = receivedWithId("gone");
+    List<String> started = router.receivedWithId("gone");
     assertTrue(
         !started.isEmpty() && started.size() < CLIENT_COUNT,
         started.size() + " attempts began at once");
-    sendSignal("CONT");
+    router.sendSignal("CONT");
     Thread.sleep(300);
     assertEquals(
-        started, receivedWithId("gone"), "no free slot went to a client that had disconnected");
+        started,
+        router.receivedWithId("gone"),
+        "no free slot went to a client that had disconnected");
   }
 }
--- a/router/src/test/java/rushwood/server/ConnectionCloseTest.java
+++ b/router/src/test/java/rushwood/server/ConnectionCloseTest.java
@@ -6,15 +6,22 @@
 import static rushwood.protocol.TestMessages.messageTypes;
 import static rushwood.protocol.TestMessages.query;
 import static rushwood.protocol.TestMessages.startup;
+import static rushwood.server.Statements.EMPTY;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.largeWrite;
+import static rushwood.server.Statements.read;
 
 import java.net.Socket;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** Client connections that end while something is on its way. */
-class ConnectionCloseTest extends RouterProcessFixture {
+class ConnectionCloseTest {
   private static final byte[] TERMINATE = message('X', new byte[0]);
 
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
+
   /**
    * What a client sent after its Terminate message is read and dropped, not answered by a reset:
    * the responses before it arrive, and nothing of it is sent to a backend.
@@ -23,13 +30,13 @@
   void dataAfterTerminateMessage() throws Exception {
     byte[] more = query(largeWrite("behind", 60_000));
     for (int i = 0; i < 5; i++) {
-      try (TestClient client = new TestClient(port)) {
+      try (TestClient client = router.connect()) {
         assertEquals(SERVED, client.query(read("r" + i)));
         writeWhileSuspended(client, concat(query(""), TERMINATE, more, more, more));
         assertEquals(EMPTY, messageTypes(client.readToEnd()));
       }
     }
-    assertEquals(List.of(), receivedWithId("behind"));
+    assertEquals(List.of(), router.receivedWithId("behind"));
   }
 
   /** The same after a protocol error of the client, which it can read. */
@@ -37,26 +44,26 @@
   void dataAfterProtocolError() throws Exception {
     byte[] more = query(largeWrite("behind", 60_000));
     for (int i = 0; i < 5; i++) {
-      try (TestClient client = new TestClient(port)) {
+      try (TestClient client = router.connect()) {
         writeWhileSuspended(
             client, concat(query(""), new byte[] {'?', 0, 0, 0, 4}, more, more, more));
         assertEquals("I Z E(08P01)", messageTypes(client.readToEnd()));
       }
     }
-    assertEquals(List.of(), receivedWithId("behind"));
+    assertEquals(List.of(), router.receivedWithId("behind"));
   }
 
   @Test
   void connectionClosedDuringStartup() throws Exception {
     for (byte[] start : List.of(new byte[0], new byte[] {0, 0}, startup())) {
-      try (Socket socket = new Socket("127.0.0.1", port)) {
-        socket.setSoTimeout(TIMEOUT_MILLIS);
+      try (Socket socket = new Socket("127.0.0.1", router.port())) {
+        socket.setSoTimeout(Await.TIMEOUT_MILLIS);
         socket.getOutputStream().write(start);
         socket.shutdownOutput();
         socket.getInputStream().readAllBytes();
       }
     }
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r")));
     }
   }
@@ -64,13 +71,13 @@
   /** Each invalid request gets an error; after some of them the connection ends. */
   @Test
   void repeatedInvalidRequestsEndTheConnection() throws Exception {
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       for (int i = 0; i < 13; i++) {
         assertEquals("E(42601) Z", client.query("SELECT 1"));
       }
       assertEquals('E', client.socket.getInputStream().read());
     }
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
       assertEquals("E(22023) Z", client.query(read("r1")), "the id is in use");
     }
@@ -81,8 +88,8 @@
    * where the router ends the connection, unread bytes are left.
    */
   private void writeWhileSuspended(TestClient client, byte[] bytes) throws Exception {
-    sendSignal("STOP");
+    router.sendSignal("STOP");
     client.sendBytes(bytes);
-    sendSignal("CONT");
+    router.sendSignal("CONT");
   }
 }
--- a/router/src/test/java/rushwood/server/ConnectionLimitTest.java
+++ b/router/src/test/java/rushwood/server/ConnectionLimitTest.java
@@ -7,6 +7,14 @@
 import static rushwood.protocol.TestMessages.messageTypes;
 import static rushwood.protocol.TestMessages.query;
 import static rushwood.protocol.TestMessages.startup;
+import static rushwood.server.RouterProcessFixture.awaitCounters;
+import static rushwood.server.Statements.EMPTY;
+import static rushwood.server.Statements.REJECTED;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.STARTED;
+import static rushwood.server.Statements.assertServedOrRejected;
+import static rushwood.server.Statements.largeWrite;
+import static rushwood.server.Statements.read;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -16,27 +24,30 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
 /** Clients that take all connections, or more memory than there is. */
-class ConnectionLimitTest extends RouterProcessFixture {
+class ConnectionLimitTest {
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
+
   /** Hundreds of silent connections are all ended, and a client that asks then is served. */
   @Test
   void silentConnectionsExhaustSockets() throws Exception {
     List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < 200; i++) {
-        sockets.add(new Socket("127.0.0.1", port));
+        sockets.add(new Socket("127.0.0.1", router.port()));
       }
-      for (Socket each : sockets) {
-        each.setSoTimeout(TIMEOUT_MILLIS);
+      for (Socket socket : sockets) {
+        socket.setSoTimeout(Await.TIMEOUT_MILLIS);
         // refused at once, closed for another client or closed because it was silent for too long
-        int first = each.getInputStream().read();
+        int first = socket.getInputStream().read();
         assertTrue(first == 'E' || first < 0);
       }
     } finally {
-      for (Socket each : sockets) {
-        each.close();
+      for (Socket socket : sockets) {
+        socket.close();
       }
     }
     try (TestClient client = connectOnceAccepted()) {
@@ -46,10 +57,10 @@
 
   /** Tries to connect until the router has ended enough of the other connections. */
   private TestClient connectOnceAccepted() throws InterruptedException {
-    for (int waitedMillis = 0; waitedMillis < TIMEOUT_MILLIS; waitedMillis += 50) {
+    for (int waitedMillis = 0; waitedMillis < Await.TIMEOUT_MILLIS; waitedMillis += 50) {
       Thread.sleep(50);
       try {
-        return new TestClient(port);
+        return router.connect();
       } catch (AssertionError | IOException e) {
         // not accepted yet
       }
@@ -61,21 +72,21 @@
   @Test
   void idleClientsAreClosedForNewOnes() throws Exception {
     List<TestClient> idle = new ArrayList<>();
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       for (int i = 0; i < 175; i++) {
-        idle.add(new TestClient(port));
+        idle.add(router.connect());
         assertEquals(EMPTY, idle.get(i).query(""));
       }
       Thread.sleep(150);
       assertEquals(EMPTY, client.query(""));
-      TestClient late = new TestClient(port);
+      TestClient late = router.connect();
       idle.add(late);
       assertEquals(SERVED, late.query(read("r1")));
       assertEquals(SERVED, client.query(read("r2")), "it was not idle for long");
       assertTrue(idle.get(0).isEnded());
     } finally {
-      for (TestClient each : idle) {
-        each.close();
+      for (TestClient open : idle) {
+        open.close();
       }
     }
   }
@@ -89,9 +100,9 @@
     half[3] = -1;
     half[4] = -1;
     List<TestClient> clients = new ArrayList<>();
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       for (int i = 0; i < 100; i++) {
-        clients.add(new TestClient(port));
+        clients.add(router.connect());
         TestClient sender = clients.get(i);
         StandInServer.startThread(() -> sender.sendBytes(half));
       }
@@ -101,8 +112,8 @@
         assertServedOrRejected(answer);
       }
     } finally {
-      for (TestClient each : clients) {
-        each.close();
+      for (TestClient open : clients) {
+        open.close();
       }
     }
   }
@@ -114,21 +125,21 @@
   @Test
   void connectionsBeyondTheLimit() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    primary.responder = StandInBackend.respondBehind(release, primary.responder);
-    replica.responder = StandInBackend.respondBehind(release, replica.responder);
+    router.primary().responder = StandInBackend.respondBehind(release, router.primary().responder);
+    router.replica().responder = StandInBackend.respondBehind(release, router.replica().responder);
     List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < 230; i++) {
-        Socket socket = new Socket("127.0.0.1", port);
+        Socket socket = new Socket("127.0.0.1", router.port());
         sockets.add(socket);
-        socket.setSoTimeout(TIMEOUT_MILLIS);
+        socket.setSoTimeout(Await.TIMEOUT_MILLIS);
         socket.getOutputStream().write(concat(startup(), query(read("r" + i, 8000))));
       }
       int last = sockets.size() - 1;
       assertEquals("E(53300)", readStartupAndResponse(sockets.get(last)));
       release.countDown();
-      for (Socket each : sockets.subList(0, last)) {
-        String types = readStartupAndResponse(each);
+      for (Socket socket : sockets.subList(0, last)) {
+        String types = readStartupAndResponse(socket);
         assertTrue(
             types.isEmpty()
                 || types.equals(STARTED + " " + SERVED)
@@ -138,8 +149,8 @@
       }
     } finally {
       release.countDown();
-      for (Socket each : sockets) {
-        each.close();
+      for (Socket socket : sockets) {
+        socket.close();
       }
     }
   }
@@ -162,10 +173,10 @@
    */
   @Test
   void pipeliningBeyondTheLimit() throws Exception {
-    replica.responder =
+    router.replica().responder =
         StandInBackend.respondAfter(statement -> 400, StandInBackend.rowResponse("v", "replica"));
     byte[] much = query(largeWrite("ahead", 64 << 10));
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       client.send(read("r1"));
       for (int i = 0; i < 24; i++) {
         client.sendBytes(much); // three times what is buffered
@@ -187,16 +198,16 @@
       all.writeBytes(much);
     }
     List<TestClient> clients = new ArrayList<>();
-    try (TestClient staying = new TestClient(port)) {
+    try (TestClient staying = router.connect()) {
       for (int i = 0; i < 60; i++) {
-        clients.add(new TestClient(port));
+        clients.add(router.connect());
       }
-      sendSignal("STOP");
-      for (TestClient each : clients) {
-        StandInServer.startThread(() -> each.sendBytes(all.toByteArray()));
+      router.sendSignal("STOP");
+      for (TestClient sender : clients) {
+        StandInServer.startThread(() -> sender.sendBytes(all.toByteArray()));
       }
       Thread.sleep(500);
-      sendSignal("CONT");
+      router.sendSignal("CONT");
       for (int i = 0; i < 20; i++) {
         String answer = staying.query(read("r" + i));
         assertServedOrRejected(answer);
@@ -207,14 +218,16 @@
       assertTrue(counters.get(Counter.CLIENTS_REFUSED) > 0, counters::toString);
       assertEquals(SERVED, staying.query(read("last")));
     } finally {
-      for (TestClient each : clients) {
-        each.close();
+      for (TestClient open : clients) {
+        open.close();
       }
     }
     assertEquals(
         List.of(),
-        processOutput.stream()
-            .filter(each -> each.contains("OutOf") || each.contains("WARN"))
+        router
+            .output()
+            .lines()
+            .filter(line -> line.contains("OutOf") || line.contains("WARN"))
             .toList());
   }
 }
--- a/router/src/test/java/rushwood/server/EndpointListUpdateTest.java
+++ b/router/src/test/java/rushwood/server/EndpointListUpdateTest.java
@@ -1,35 +1,46 @@
 package rushwood.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static rushwood.server.RouterProcessFixture.FIRST_LIST_VERSION;
+import static rushwood.server.RouterProcessFixture.awaitCounters;
+import static rushwood.server.RouterProcessFixture.endpointJson;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.read;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
 /** A change of the endpoint list, or of where it comes from, while the router serves. */
-class EndpointListUpdateTest extends RouterProcessFixture {
+class EndpointListUpdateTest {
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
+
   @Test
   void drainingBackendsGetNoNewRequests() throws Exception {
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
-      discovery.watchEvents.add("");
-      discovery.watchEvents.add(endpointListJson(false, endpointJson("b", replica, "Terminating")));
+      router.discovery().watchEvents.add("");
+      router
+          .discovery()
+          .watchEvents
+          .add(router.endpointListJson(false, endpointJson("b", router.replica(), "Terminating")));
       awaitCounters(client, counters -> counters.get(Counter.ENDPOINT_LISTS_UPDATED) >= 1);
-      replica.receivedStatements.clear();
+      router.replica().receivedStatements.clear();
       assertEquals(SERVED, client.query(read("r2")));
-      assertEquals(List.of(), List.copyOf(replica.receivedStatements));
+      assertEquals(List.of(), List.copyOf(router.replica().receivedStatements));
     }
   }
 
   @Test
   void watchIsReopenedAfterMalformedEvent() throws Exception {
-    awaitWatchRequest(discovery, FIRST_LIST_VERSION);
-    discovery.watchEvents.add("nonsense");
-    awaitLogLine("discovery sent an unreadable endpoint list");
-    awaitWatchRequest(discovery, FIRST_LIST_VERSION);
-    try (TestClient client = new TestClient(port)) {
+    router.discovery().awaitWatchRequest(FIRST_LIST_VERSION);
+    router.discovery().watchEvents.add("nonsense");
+    router.awaitLogLine("discovery sent an unreadable endpoint list");
+    router.discovery().awaitWatchRequest(FIRST_LIST_VERSION);
+    try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
     }
   }
@@ -40,38 +51,39 @@
    */
   @Test
   void followsAnotherDiscoveryAfterReload() throws Exception {
-    awaitWatchRequest(discovery, FIRST_LIST_VERSION);
+    router.discovery().awaitWatchRequest(FIRST_LIST_VERSION);
     StandInDiscovery otherDiscovery = new StandInDiscovery();
-    try (TestClient client = new TestClient(port)) {
-      Path config = Files.writeString(folder.resolve("config.json"), "{\"name\":");
-      sendHangUp();
-      awaitLogLine(
+    try (TestClient client = router.connect()) {
+      Path config = Files.writeString(router.configFile(), "{\"name\":");
+      router.sendSignal("HUP");
+      router.awaitLogLine(
           "ignored the new configuration: NODE_CONFIG names a file that is no JSON object");
       assertEquals(SERVED, client.query(read("r1")));
       otherDiscovery.endpointList =
-          endpointListJson(
+          router
+              .endpointListJson(
                   true,
-                  endpointJson("a", primary, "Ready"),
-                  endpointJson("b", replica, "Terminating"))
+                  endpointJson("a", router.primary(), "Ready"),
+                  endpointJson("b", router.replica(), "Terminating"))
               .replaceFirst(":\\d+", ":1");
       client.send(read("r2"));
-      writeConfig(otherDiscovery);
-      awaitWatchRequest(otherDiscovery, 1);
+      router.writeConfig(otherDiscovery);
+      otherDiscovery.awaitWatchRequest(1);
       assertEquals(SERVED, client.readResponse());
-      discovery.close();
+      router.discovery().close();
       awaitCounters(client, counters -> counters.get(Counter.ENDPOINT_LISTS_REPLACED) >= 2);
-      replica.receivedStatements.clear();
+      router.replica().receivedStatements.clear();
       assertEquals(SERVED, client.query(read("r3")));
       assertEquals(
           List.of(),
-          List.copyOf(replica.receivedStatements),
+          List.copyOf(router.replica().receivedStatements),
           "it is draining, as the new list says");
       CounterSnapshot counters = client.readCounters();
       assertEquals(1, counters.get(Counter.CONFIGS_APPLIED));
       assertEquals(1, counters.get(Counter.CONFIGS_REJECTED));
       Files.writeString(config, Files.readString(config).replace("256", "300"));
-      sendHangUp();
-      awaitLogLine("ignored the new value of limits.sockets");
+      router.sendSignal("HUP");
+      router.awaitLogLine("ignored the new value of limits.sockets");
     } finally {
       otherDiscovery.close();
     }
--- a/router/src/test/java/rushwood/server/EndpointUpdateDeadlineTest.java
+++ b/router/src/test/java/rushwood/server/EndpointUpdateDeadlineTest.java
@@ -3,6 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rushwood.protocol.TestMessages.startup;
+import static rushwood.server.RouterProcessFixture.FIRST_LIST_VERSION;
+import static rushwood.server.RouterProcessFixture.endpointJson;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.read;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -12,22 +16,23 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
  * A change that discovery has and could tell takes effect within 6 s, a new endpoint as well as a
  * draining one, also with a drain grace of 15 s.
  */
-class EndpointUpdateDeadlineTest extends RouterProcessFixture {
+class EndpointUpdateDeadlineTest {
   private static final long MAX_UPDATE_MILLIS = 6000;
 
+  @RegisterExtension
+  final RouterProcessFixture router =
+      RouterProcessFixture.startedWith(
+          settings -> settings.replace("\"fall\":", "\"drain_grace\":15.0,\"fall\":"));
+
   private StandInBackend newBackend;
   private int requestCount;
 
-  @Override
-  String settingsJson() {
-    return super.settingsJson().replace("\"fall\":", "\"drain_grace\":15.0,\"fall\":");
-  }
-
   @BeforeEach
   void startNewBackend() throws IOException {
     newBackend = new StandInBackend("replica");
@@ -40,38 +45,42 @@
 
   /** Changes the complete list alone: no watch gets an event. */
   private void updateListWithoutWatchEvent() {
-    discovery.endpointList =
-        endpointListJson(
+    router.discovery().endpointList =
+        router.endpointListJson(
             true,
-            endpointJson("a", primary, "Ready"),
-            endpointJson("b", replica, "Terminating"),
+            endpointJson("a", router.primary(), "Ready"),
+            endpointJson("b", router.replica(), "Terminating"),
             endpointJson("c", newBackend, "Ready"));
   }
 
   /** Asserts that the new backend gets requests in time, and the draining one none from then on. */
   private void assertUpdateTakesEffect(TestClient client) throws Exception {
-    long from = System.nanoTime();
     newBackend.receivedStatements.clear();
-    while (newBackend.receivedStatements.stream()
-        .noneMatch(each -> each.startsWith("SELECT val"))) {
+    long from = System.nanoTime();
+    while (receivedReads(newBackend).isEmpty()) {
       assertTrue(
           System.nanoTime() - from < MAX_UPDATE_MILLIS * 1_000_000,
           "no request sent to the new backend within " + MAX_UPDATE_MILLIS + " ms");
       assertEquals(SERVED, client.query(read("r" + requestCount++)));
       Thread.sleep(10);
     }
-    replica.receivedStatements.clear();
+    router.replica().receivedStatements.clear();
     for (int i = 0; i < 20; i++) {
       assertEquals(SERVED, client.query(read("r" + requestCount++)));
     }
-    assertEquals(
-        List.of(),
-        replica.receivedStatements.stream().filter(each -> each.startsWith("SELECT val")).toList());
+    assertEquals(List.of(), receivedReads(router.replica()));
+  }
+
+  /** Returns what clients read from the backend; what the router asks it is left out. */
+  private static List<String> receivedReads(StandInBackend backend) {
+    return backend.receivedStatements.stream()
+        .filter(statement -> statement.startsWith("SELECT val"))
+        .toList();
   }
 
   private TestClient connectClient() throws Exception {
-    awaitWatchRequest(discovery, FIRST_LIST_VERSION);
-    TestClient client = new TestClient(port);
+    router.discovery().awaitWatchRequest(FIRST_LIST_VERSION);
+    TestClient client = router.connect();
     assertEquals(SERVED, client.query(read("r" + requestCount++)));
     return client;
   }
@@ -90,7 +99,7 @@
     StandInServer.startThread(
         () -> {
           while (!isOver.get()) {
-            discovery.watchEvents.add("");
+            router.discovery().watchEvents.add("");
             Thread.sleep(100);
           }
         });
@@ -106,8 +115,8 @@
   @Test
   void stalledCalls() throws Exception {
     try (TestClient client = connectClient()) {
-      discovery.unansweredCalls.set(2);
-      discovery.closeConnections();
+      router.discovery().unansweredCalls.set(2);
+      router.discovery().closeConnections();
       updateListWithoutWatchEvent();
       assertUpdateTakesEffect(client);
     }
@@ -117,11 +126,11 @@
   @Test
   void discoveryBecomesReachableAgain() throws Exception {
     try (TestClient client = connectClient()) {
-      discovery.unansweredCalls.set(1000);
-      discovery.closeConnections();
+      router.discovery().unansweredCalls.set(1000);
+      router.discovery().closeConnections();
       updateListWithoutWatchEvent();
       Thread.sleep(2500);
-      discovery.unansweredCalls.set(0);
+      router.discovery().unansweredCalls.set(0);
       assertUpdateTakesEffect(client);
     }
   }
@@ -132,16 +141,16 @@
     List<Socket> idle = new ArrayList<>();
     try (TestClient client = connectClient()) {
       for (int i = 0; i < 300; i++) {
-        Socket socket = new Socket("127.0.0.1", port);
+        Socket socket = new Socket("127.0.0.1", router.port());
         socket.getOutputStream().write(startup());
         idle.add(socket);
       }
-      discovery.closeConnections();
+      router.discovery().closeConnections();
       updateListWithoutWatchEvent();
       assertUpdateTakesEffect(client);
     } finally {
-      for (Socket each : idle) {
-        each.close();
+      for (Socket socket : idle) {
+        socket.close();
       }
     }
   }
--- a/router/src/test/java/rushwood/server/GracefulShutdownTest.java
+++ b/router/src/test/java/rushwood/server/GracefulShutdownTest.java
@@ -4,6 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rushwood.protocol.TestMessages.messageTypes;
 import static rushwood.protocol.TestMessages.query;
+import static rushwood.server.Statements.REJECTED;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.assertServedOrRejected;
+import static rushwood.server.Statements.read;
+import static rushwood.server.Statements.write;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -12,28 +17,30 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** SIGTERM while a router serves: each request that was taken has its whole answer. */
-class GracefulShutdownTest extends UnstartedRouterFixture {
+class GracefulShutdownTest {
   /** A request that comes later than this after SIGTERM and finds no router counts as lost. */
   private static final long MAX_CLOSE_MILLIS = 700;
 
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.unstarted();
+
   /** Open connections are served as long as possible: clients find no other router so soon. */
   @Test
   void servesOpenConnectionsUntilTheLastMoment() throws Exception {
-    launchAndAwaitReady();
+    router.launchAndAwaitReady();
     Thread.sleep(500); // a pause during the start is past
-    try (TestClient idle = new TestClient(port)) {
-      long signalledAt = terminate();
+    try (TestClient idle = router.connect()) {
+      long signalledAt = router.terminate();
       int count = 0;
       while (System.nanoTime() - signalledAt < 2_300_000_000L) {
         assertEquals(SERVED, idle.query(read("r" + count++)));
         Thread.sleep(10);
       }
       assertTrue(idle.isEnded());
-      assertExitsInTime(signalledAt);
+      router.assertExitsInTime(signalledAt);
     }
   }
 
@@ -43,21 +50,21 @@
    */
   @Test
   void closesIdleConnectionsEarlierAfterAPause() throws Exception {
-    launchAndAwaitReady();
-    sendSignal("STOP");
+    router.launchAndAwaitReady();
+    router.sendSignal("STOP");
     Thread.sleep(1600);
-    sendSignal("CONT");
+    router.sendSignal("CONT");
     Thread.sleep(200); // what comes right after a pause may have come at its start
-    try (TestClient idle = new TestClient(port);
-        TestClient waiting = new TestClient(port)) {
+    try (TestClient idle = router.connect();
+        TestClient waiting = router.connect()) {
       assertEquals(SERVED, idle.query(read("r1")));
-      replica.responder =
+      router.replica().responder =
           StandInBackend.respondAfter(
               statement -> 1000, StandInBackend.rowResponse("v", "replica"));
-      primary.responder = replica.responder;
+      router.primary().responder = router.replica().responder;
       waiting.send(read("r2", 3000));
       Thread.sleep(200);
-      long signalledAt = terminate();
+      long signalledAt = router.terminate();
       assertTrue(idle.isEnded());
       long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
       assertTrue(
@@ -65,7 +72,7 @@
           "not at once, as new ones still come: after " + elapsedMillis + " ms");
       assertEquals(SERVED, waiting.readResponse());
       assertTrue(waiting.isEnded());
-      assertExitsInTime(signalledAt);
+      router.assertExitsInTime(signalledAt);
     }
   }
 
@@ -75,22 +82,22 @@
    */
   @Test
   void terminatedWithConnectionsInEachState() throws Exception {
-    launchAndAwaitReady();
-    replica.responder =
+    router.launchAndAwaitReady();
+    router.replica().responder =
         StandInBackend.respondAfter(
             GracefulShutdownTest::delayMillis, StandInBackend.rowResponse("v", "replica"));
-    primary.responder = replica.responder;
+    router.primary().responder = router.replica().responder;
     List<TestClient> idle = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      idle.add(new TestClient(port));
+      idle.add(router.connect());
     }
-    try (TestClient waiting = new TestClient(port);
-        TestClient pipelining = new TestClient(port);
-        TestClient halfWritten = new TestClient(port);
-        TestClient silent = new TestClient(port);
-        TestClient hung = new TestClient(port)) {
+    try (TestClient waiting = router.connect();
+        TestClient pipelining = router.connect();
+        TestClient halfWritten = router.connect();
+        TestClient silent = router.connect();
+        TestClient hung = router.connect()) {
       hung.send(read("hung", 12000));
-      assertTrue(nextStatement(replica).contains("hung"));
+      assertTrue(router.replica().nextStatement().contains("hung"));
       waiting.send(read("slow", 5000));
       for (int i = 0; i < 4; i++) {
         pipelining.send(read("slow-ahead" + i, 5000));
@@ -100,7 +107,7 @@
       halfWritten.sendBytes(firstHalf);
       silent.sendBytes(firstHalf);
       Thread.sleep(100);
-      long signalledAt = terminate();
+      long signalledAt = router.terminate();
       Thread.sleep(2000);
       halfWritten.sendBytes(Arrays.copyOfRange(statement, firstHalf.length, statement.length));
       assertServedOrRejected(waiting.readResponse());
@@ -110,22 +117,22 @@
         assertServedOrRejected(pipelining.readResponse());
       }
       assertEquals(REJECTED, hung.readResponse(), "another router may be asked again");
-      for (TestClient each : idle) {
-        assertTrue(each.isEnded());
+      for (TestClient client : idle) {
+        assertTrue(client.isEnded());
       }
-      assertExitsInTime(signalledAt);
+      router.assertExitsInTime(signalledAt);
     } finally {
-      for (TestClient each : idle) {
-        each.close();
+      for (TestClient client : idle) {
+        client.close();
       }
     }
-    assertTrue(awaitLogLine("counters").contains("exceptions_caught=0"));
+    assertTrue(router.awaitLogLine("counters").contains("exceptions_caught=0"));
   }
 
   /** Clients send requests up to the last moment: what got no response was never sent on. */
   @Test
   void unansweredRequestsWereNeverSent() throws Exception {
-    launchAndAwaitReady();
+    router.launchAndAwaitReady();
     Set<String> unanswered = ConcurrentHashMap.newKeySet();
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
@@ -133,7 +140,7 @@
       threads.add(
           new Thread(
               () -> {
-                try (TestClient client = new TestClient(port)) {
+                try (TestClient client = router.connect()) {
                   for (int next = 0; ; next++) {
                     String id = name + next + ",";
                     unanswered.add(id);
@@ -148,52 +155,53 @@
     }
     threads.forEach(Thread::start);
     Thread.sleep(300);
-    long signalledAt = terminate();
-    for (Thread each : threads) {
-      each.join(TIMEOUT_MILLIS);
+    long signalledAt = router.terminate();
+    for (Thread thread : threads) {
+      thread.join(Await.TIMEOUT_MILLIS);
     }
-    assertExitsInTime(signalledAt);
-    int received = receivedStatements().size();
+    router.assertExitsInTime(signalledAt);
+    int received = router.receivedStatements().size();
     assertTrue(received > 300, "backends received " + received + " statements");
     for (String id : unanswered) {
-      assertEquals(List.of(), receivedWithId(id));
+      assertEquals(List.of(), router.receivedWithId(id));
     }
   }
 
   /** A signal that comes during a suspension counts from the suspension's start. */
   @Test
   void terminatedWhileSuspended() throws Exception {
-    launchAndAwaitReady();
-    try (TestClient client = new TestClient(port)) {
+    router.launchAndAwaitReady();
+    try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
       Thread.sleep(100);
-      sendSignal("STOP");
-      long signalledAt = terminate();
+      router.sendSignal("STOP");
+      long signalledAt = router.terminate();
       Thread.sleep(1000);
-      sendSignal("CONT");
+      router.sendSignal("CONT");
       client.send(read("r2", 5000));
       String answered = messageTypes(client.socket.getInputStream().readAllBytes());
       assertTrue(
           answered.equals(SERVED)
-              || (answered.isEmpty() && !replica.receivedStatements.toString().contains("id=r2,")),
+              || (answered.isEmpty()
+                  && !router.replica().receivedStatements.toString().contains("id=r2,")),
           "whole, or never sent on: " + answered);
-      assertExitsInTime(signalledAt);
+      router.assertExitsInTime(signalledAt);
     }
   }
 
   /** A request in flight is finished, and further ones are served on old and new connections. */
   @Test
   void finishesAcceptedRequestsOnShutdown() throws Exception {
-    launchAndAwaitReady();
+    router.launchAndAwaitReady();
     CountDownLatch release = new CountDownLatch(1);
-    replica.responder = StandInBackend.respondBehind(release, replica.responder);
-    try (TestClient idle = new TestClient(port);
-        TestClient busy = new TestClient(port)) {
+    router.replica().responder = StandInBackend.respondBehind(release, router.replica().responder);
+    try (TestClient idle = router.connect();
+        TestClient busy = router.connect()) {
       busy.send(read("r1", 9000));
-      nextStatement(replica);
-      terminate();
-      awaitLogLine("stopping");
-      try (TestClient late = new TestClient(port)) {
+      router.replica().nextStatement();
+      router.terminate();
+      router.awaitLogLine("stopping");
+      try (TestClient late = router.connect()) {
         late.send(write("w1"));
         assertEquals(SERVED, late.readResponse());
         assertEquals(SERVED, idle.query(write("w2")), "it serves on");
@@ -204,14 +212,14 @@
       assertEquals(SERVED, busy.readResponse());
       assertTrue(busy.isEnded());
     }
-    assertTrue(awaitLogLine("counters").contains("requests_succeeded=3"));
-    assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+    assertTrue(router.awaitLogLine("counters").contains("requests_succeeded=3"));
+    router.awaitExit();
   }
 
   private static long delayMillis(String statement) {
     if (statement.contains("slow")) {
       return 1500;
     }
-    return statement.contains("hung") ? TIMEOUT_MILLIS : 0;
+    return statement.contains("hung") ? Await.TIMEOUT_MILLIS : 0;
   }
 }
--- a/router/src/test/java/rushwood/server/RouterProcessFixture.java
+++ b/router/src/test/java/rushwood/server/RouterProcessFixture.java
@@ -1,86 +1,106 @@
 package rushwood.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.io.TempDir;
+import java.util.function.UnaryOperator;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.extension.AfterEachCallback;
+import org.junit.jupiter.api.extension.BeforeEachCallback;
+import org.junit.jupiter.api.extension.ExtensionContext;
 import rushwood.config.RouterConfigFixture;
-import rushwood.protocol.TestMessages;
 
 /**
  * A router in a process of its own, with a primary, a replica and discovery as stand-ins on
- * loopback.
+ * loopback. A test class has it as a field with {@code @RegisterExtension}: it starts before each
+ * test and stops after it.
  */
-abstract class RouterProcessFixture {
-  /** Until a test that hangs fails. */
-  static final int TIMEOUT_MILLIS = 20_000;
+final class RouterProcessFixture implements BeforeEachCallback, AfterEachCallback {
+  /** The version of the list that discovery has at the start. */
+  static final int FIRST_LIST_VERSION = 41;
+
+  /**
+   * From SIGTERM to SIGKILL: the longest request timeout of the settings, 5 s, counts as 3 s; 0.7 s
+   * are added.
+   */
+  private static final long MAX_EXIT_MILLIS = 3700;
+
+  private static final int ANY_PORT = 0;
+
+  private final boolean startsBeforeTest;
+  private final UnaryOperator<String> settingsChange;
+  private final BlockingQueue<String> output = new LinkedBlockingQueue<>();
+  private Path folder;
+  private StandInBackend primary;
+  private StandInBackend replica;
+  private StandInDiscovery discovery;
+  private Process process;
+  private int configuredPort;
+  private int port;
+  private int listVersion = FIRST_LIST_VERSION - 1;
+
+  private RouterProcessFixture(boolean startsBeforeTest, UnaryOperator<String> settingsChange) {
+    this.startsBeforeTest = startsBeforeTest;
+    this.settingsChange = settingsChange;
+  }
 
-  /** Between two looks at what a test waits for. */
-  private static final int POLL_INTERVAL_MILLIS = 5;
+  /** A router that serves when a test begins. */
+  static RouterProcessFixture started() {
+    return startedWith(settings -> settings);
+  }
 
-  /** How long the client of a statement waits where the test does not say. */
-  static final int REQUEST_TIMEOUT_MILLIS = 900;
+  /** The same with changed settings. */
+  static RouterProcessFixture startedWith(UnaryOperator<String> settingsChange) {
+    return new RouterProcessFixture(true, settingsChange);
+  }
 
-  /** The version of the list that discovery has at the start. */
-  static final int FIRST_LIST_VERSION = 41;
+  /** A router that tests start themselves; stand-ins run, and the port is known before. */
+  static RouterProcessFixture unstarted() {
+    return new RouterProcessFixture(false, settings -> settings);
+  }
 
-  // Responses, as the types of their messages.
-  static final String STARTED = "R S S S S S K Z";
-  static final String SERVED = "T D C Z";
-  static final String EMPTY = "I Z";
-  static final String REJECTED = "E(53300) Z";
-  static final String FAILED = "E(58000) Z";
-
-  @TempDir Path folder;
-  StandInBackend primary;
-  StandInBackend replica;
-  StandInDiscovery discovery;
-  Process process;
-  final BlockingQueue<String> processOutput = new LinkedBlockingQueue<>();
-  int port;
-  int listVersion = FIRST_LIST_VERSION - 1;
-
-  @BeforeEach
-  void startRouter() throws Exception {
+  @Override
+  public void beforeEach(ExtensionContext context) throws Exception {
+    folder = Files.createTempDirectory("router");
+    configuredPort = startsBeforeTest ? ANY_PORT : freePort();
+    port = configuredPort;
     startStandIns();
-    launchProcess();
-    String line = awaitLogLine("serves at");
-    port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
+    if (startsBeforeTest) {
+      launch();
+      String line = awaitLogLine("serves at");
+      port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
+    }
   }
 
-  @AfterEach
-  void stopRouter() throws Exception {
+  @Override
+  public void afterEach(ExtensionContext context) throws Exception {
     process.toHandle().destroyForcibly(); // unlike Process.destroyForcibly, leaves its output open
-    assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-    assertEquals(List.of(), processOutput.stream().filter(line -> line.contains("LEAK")).toList());
+    awaitExit();
+    assertEquals(List.of(), outputWith("LEAK"));
     discovery.close();
     primary.close();
     replica.close();
+    deleteFolder();
   }
 
-  /** The settings that the router is started with. */
-  String settingsJson() {
-    return RouterConfigFixture.VALID_SETTINGS;
-  }
-
-  /** The port that the router listens on; 0 for any. */
-  int listenPort() {
-    return 0;
+  private static int freePort() throws IOException {
+    try (ServerSocket free = new ServerSocket(ANY_PORT)) {
+      return free.getLocalPort();
+    }
   }
 
-  void startStandIns() throws Exception {
+  private void startStandIns() throws IOException {
     primary = new StandInBackend("master");
     replica = new StandInBackend("replica");
     discovery = new StandInDiscovery();
@@ -90,8 +110,46 @@
     writeConfig(discovery);
   }
 
+  private void deleteFolder() throws IOException {
+    try (Stream<Path> files = Files.walk(folder)) {
+      for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(file);
+      }
+    }
+  }
+
+  StandInBackend primary() {
+    return primary;
+  }
+
+  StandInBackend replica() {
+    return replica;
+  }
+
+  StandInDiscovery discovery() {
+    return discovery;
+  }
+
+  /** Where it listens. */
+  int port() {
+    return port;
+  }
+
+  /** Holds its configuration file, and what it writes itself. */
+  Path folder() {
+    return folder;
+  }
+
+  Path configFile() {
+    return folder.resolve("config.json");
+  }
+
+  TestClient connect() throws IOException {
+    return new TestClient(port);
+  }
+
   /** Starts the process and returns before it listens. */
-  void launchProcess() throws Exception {
+  void launch() throws IOException {
     ProcessBuilder builder =
         new ProcessBuilder(
                 System.getProperty("java.home") + "/bin/java",
@@ -107,32 +165,23 @@
                 "rushwood.Main",
                 "serve")
             .redirectErrorStream(true);
-    builder.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
+    builder.environment().put("NODE_CONFIG", configFile().toString());
     builder.environment().put("NODE_DISCOVERY", discovery.address());
-    process = builder.start();
-    StandInServer.startThread(() -> process.inputReader().lines().forEach(processOutput::add));
+    Process started = builder.start();
+    StandInServer.startThread(() -> started.inputReader().lines().forEach(output::add));
+    process = started;
   }
 
-  Path writeConfig(StandInDiscovery configuredDiscovery) throws IOException {
-    return Files.writeString(
-        folder.resolve("config.json"),
-        "{\"name\":\"n0\",\"seed\":\"7\","
-            + "\"listen\":\"127.0.0.1:"
-            + listenPort()
-            + "\",\"discovery\":\""
-            + configuredDiscovery.address()
-            + "\",\"limits\":{\"sockets\":256},\"known\":"
-            + configuredDiscovery.endpointList
-            + ",\"settings\":"
-            + settingsJson()
-            + "}");
+  void launchAndAwaitReady() throws IOException, InterruptedException {
+    launch();
+    awaitLogLine("serves at");
   }
 
-  void sendHangUp() throws Exception {
-    sendSignal("HUP");
+  boolean isAlive() {
+    return process.isAlive();
   }
 
-  void sendSignal(String name) throws Exception {
+  void sendSignal(String name) throws IOException, InterruptedException {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
@@ -143,6 +192,52 @@
     return System.nanoTime();
   }
 
+  /** Waits for its end. */
+  void awaitExit() throws InterruptedException {
+    assertTrue(
+        process.waitFor(Await.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+        () -> "it has not ended: " + output());
+  }
+
+  /** Waits for its end, and asserts that SIGKILL would not have come before that. */
+  void assertExitsInTime(long signalledAt) throws InterruptedException {
+    awaitExit();
+    long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
+    assertTrue(
+        elapsedMillis < MAX_EXIT_MILLIS,
+        () -> "it ended after " + elapsedMillis + " ms: " + output());
+  }
+
+  /** All that it has printed since the last line that a test waited for. */
+  String output() {
+    return String.join("\n", output);
+  }
+
+  /** The lines of {@link #output} that contain the text. */
+  List<String> outputWith(String text) {
+    return output.stream().filter(line -> line.contains(text)).toList();
+  }
+
+  String awaitLogLine(String text) throws InterruptedException {
+    return Await.first(output, line -> line.contains(text));
+  }
+
+  /** Writes the configuration that names this discovery. */
+  void writeConfig(StandInDiscovery configuredDiscovery) throws IOException {
+    Files.writeString(
+        configFile(),
+        "{\"name\":\"n0\",\"seed\":\"7\","
+            + "\"listen\":\"127.0.0.1:"
+            + configuredPort
+            + "\",\"discovery\":\""
+            + configuredDiscovery.address()
+            + "\",\"limits\":{\"sockets\":256},\"known\":"
+            + configuredDiscovery.endpointList
+            + ",\"settings\":"
+            + settingsChange.apply(RouterConfigFixture.VALID_SETTINGS)
+            + "}");
+  }
+
   /** Returns a list with the next version. */
   String endpointListJson(boolean complete, String... entries) {
     listVersion++;
@@ -155,6 +250,11 @@
         + "]}";
   }
 
+  /** The version of the last list that was made. */
+  int listVersion() {
+    return listVersion;
+  }
+
   static String endpointJson(String id, StandInBackend backend, String state) {
     return "{\"id\":\""
         + id
@@ -167,68 +267,33 @@
         + "\"}";
   }
 
-  /** Makes discovery answer with these endpoints and send them to a watch. */
-  void publishEndpoints(String... entries) {
-    String change = endpointListJson(false, entries);
+  /** Makes discovery answer with both backends in that state and send them to a watch. */
+  void publishBackends(String state) {
+    String change =
+        endpointListJson(
+            false, endpointJson("a", primary, state), endpointJson("b", replica, state));
     discovery.endpointList = change.replace("\"full\":false", "\"full\":true");
     discovery.watchEvents.add(change);
   }
 
-  /** Waits for a watch on what changes after the version; calls for the list may precede it. */
-  static void awaitWatchRequest(StandInDiscovery watchedDiscovery, int version)
-      throws InterruptedException {
-    String next =
-        takeFirst(watchedDiscovery.requestedPaths, path -> !path.equals("/registry/instances"));
-    assertEquals("/registry/instances?follow=1&since=" + version, next);
-  }
-
-  String awaitLogLine(String text) throws InterruptedException {
-    return takeFirst(processOutput, line -> line.contains(text));
-  }
-
-  /**
-   * Removes elements from the queue up to the first that matches and returns it; fails if it has
-   * not come within {@link #TIMEOUT_MILLIS}, however many others have.
-   */
-  private static String takeFirst(BlockingQueue<String> queue, Predicate<String> condition)
-      throws InterruptedException {
-    long deadline = deadline();
-    String next;
-    do {
-      next = queue.poll(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
-      assertNotNull(next, "nothing that matches came");
-    } while (!condition.test(next));
-    return next;
-  }
-
   /** Reads the counters until they meet the condition; fails if they do not in time. */
   static CounterSnapshot awaitCounters(TestClient client, Predicate<CounterSnapshot> condition)
-      throws IOException, InterruptedException {
-    long deadline = deadline();
-    CounterSnapshot counters = client.readCounters();
-    while (!condition.test(counters)) {
-      assertTrue(System.nanoTime() < deadline, "the counters are still " + counters);
-      Thread.sleep(POLL_INTERVAL_MILLIS);
-      counters = client.readCounters();
-    }
-    return counters;
-  }
-
-  /** When a wait that begins now has failed. */
-  static long deadline() {
-    return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
-  }
-
-  /**
-   * Takes the next statement of a client that the backend has received; health checks are skipped.
-   */
-  static String nextStatement(StandInBackend backend) throws InterruptedException {
-    return takeFirst(backend.receivedStatements, statement -> !statement.startsWith("SHOW"));
+      throws Exception {
+    CounterSnapshot[] latest = new CounterSnapshot[1];
+    Await.until(
+        () -> {
+          latest[0] = client.readCounters();
+          return condition.test(latest[0]);
+        },
+        () -> "the counters are still " + latest[0]);
+    return latest[0];
   }
 
   /** Returns what both backends have received with an id that begins with {@code idPrefix}. */
   List<String> receivedWithId(String idPrefix) {
-    return receivedStatements().stream().filter(each -> each.contains("id=" + idPrefix)).toList();
+    return receivedStatements().stream()
+        .filter(statement -> statement.contains("id=" + idPrefix))
+        .toList();
   }
 
   List<String> receivedStatements() {
@@ -236,29 +301,4 @@
     received.addAll(primary.receivedStatements);
     return received;
   }
-
-  static String read(String id) {
-    return read(id, REQUEST_TIMEOUT_MILLIS);
-  }
-
-  static String read(String id, int timeoutMillis) {
-    return TestMessages.readStatement(id, ",d=" + timeoutMillis);
-  }
-
-  static String write(String id) {
-    return write(id, REQUEST_TIMEOUT_MILLIS);
-  }
-
-  static String write(String id, int timeoutMillis) {
-    return TestMessages.writeStatement(id, ",d=" + timeoutMillis);
-  }
-
-  /** Returns a write of a value of that many bytes. */
-  static String largeWrite(String id, int valueBytes) {
-    return write(id).replace("9f03", "9f".repeat(valueBytes));
-  }
-
-  static void assertServedOrRejected(String response) {
-    assertTrue(response.equals(SERVED) || response.equals(REJECTED), response);
-  }
 }
--- a/router/src/test/java/rushwood/server/RouterServerTest.java
+++ b/router/src/test/java/rushwood/server/RouterServerTest.java
@@ -5,27 +5,35 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rushwood.protocol.TestMessages.concat;
 import static rushwood.protocol.TestMessages.startup;
+import static rushwood.server.Statements.EMPTY;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.largeWrite;
+import static rushwood.server.Statements.read;
+import static rushwood.server.Statements.write;
 
 import java.net.Socket;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** Requests through a router process, with stand-in backends and discovery on loopback. */
-class RouterServerTest extends RouterProcessFixture {
+class RouterServerTest {
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
+
   @Test
   void servesReadsAndWrites() throws Exception {
-    try (TestClient client = new TestClient(port)) {
+    try (TestClient client = router.connect()) {
       assertEquals(EMPTY, client.query(""));
       assertEquals(SERVED, client.query(read("r1")));
-      String received = nextStatement(replica);
+      String received = router.replica().nextStatement();
       assertEquals(read("r1").replaceAll("d=\\d+", ""), received.replaceAll("d=\\d+", ""));
       int timeoutMillis = Integer.parseInt(received.replaceAll(".*d=(\\d+).*", "$1"));
       assertTrue(timeoutMillis > 400 && timeoutMillis < 900, received);
       assertEquals(SERVED, client.query(write("w1")));
-      assertTrue(nextStatement(primary).startsWith("INSERT"));
+      assertTrue(router.primary().nextStatement().startsWith("INSERT"));
       String longest = largeWrite("w2", 64 << 10);
       assertEquals(SERVED, client.query(longest));
-      assertEquals(longest.length(), nextStatement(primary).length(), 3);
+      assertEquals(longest.length(), router.primary().nextStatement().length(), 3);
       assertEquals("E(22023) Z", client.query(read("r2").replace("cluster=2", "cluster=9")));
       assertTrue(client.query("SHOW counters").startsWith("T D D"));
     }
@@ -39,12 +47,12 @@
             new byte[] {0, 0, 0, 8, 4, -46, 22, 46},
             concat(startup(), new byte[] {'Q', -1, -1, -1, -1}),
             startup())) {
-      try (Socket socket = new Socket("127.0.0.1", port)) {
+      try (Socket socket = new Socket("127.0.0.1", router.port())) {
         socket.getOutputStream().write(bytes);
       }
     }
-    replica.responder = statement -> "garbage\n\n\n".getBytes(UTF_8);
-    try (TestClient client = new TestClient(port)) {
+    router.replica().responder = statement -> "garbage\n\n\n".getBytes(UTF_8);
+    try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
     }
   }
--- a/router/src/test/java/rushwood/server/StandInBackend.java
+++ b/router/src/test/java/rushwood/server/StandInBackend.java
@@ -42,7 +42,7 @@
       ToLongFunction<String> delayMillis, byte[] response) {
     return statement -> {
       try {
-        Thread.sleep(delayMillis.applyAsLong(statement));
+        Thread.sleep(delayMillis.applyAsLong(statement)); // the response takes that long
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -63,6 +63,11 @@
     };
   }
 
+  /** Takes the next statement of a client that it has received; health checks are skipped. */
+  String nextStatement() throws InterruptedException {
+    return Await.first(receivedStatements, statement -> !statement.startsWith("SHOW"));
+  }
+
   void respondWith(byte[] response) {
     responder = statement -> response;
   }
--- a/router/src/test/java/rushwood/server/StandInDiscovery.java
+++ b/router/src/test/java/rushwood/server/StandInDiscovery.java
@@ -1,6 +1,7 @@
 package rushwood.server;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -20,6 +21,12 @@
 
   StandInDiscovery() throws IOException {}
 
+  /** Waits for a watch on what changes after the version; calls for the list may precede it. */
+  void awaitWatchRequest(int version) throws InterruptedException {
+    String next = Await.first(requestedPaths, path -> !path.equals("/registry/instances"));
+    assertEquals("/registry/instances?follow=1&since=" + version, next);
+  }
+
   @Override
   void serve(Socket connection) throws IOException, InterruptedException {
     BufferedReader in =
--- a/router/src/test/java/rushwood/server/StandInServer.java
+++ b/router/src/test/java/rushwood/server/StandInServer.java
@@ -26,7 +26,7 @@
   }
 
   /** Starts a daemon thread that ends silently with an exception of its connection. */
-  static void startThread(ThrowingTask task) {
+  static Thread startThread(ThrowingTask task) {
     Thread thread =
         new Thread(
             () -> {
@@ -38,6 +38,7 @@
             });
     thread.setDaemon(true);
     thread.start();
+    return thread;
   }
 
   private void acceptConnections() throws IOException {
@@ -60,8 +61,8 @@
   /** Closes all open connections; new ones are still accepted. */
   void closeConnections() throws IOException {
     synchronized (openSockets) {
-      for (Socket each : openSockets) {
-        each.close();
+      for (Socket open : openSockets) {
+        open.close();
       }
       openSockets.clear();
     }
--- a/router/src/test/java/rushwood/server/StartupSignalTest.java
+++ b/router/src/test/java/rushwood/server/StartupSignalTest.java
@@ -6,59 +6,74 @@
 import static rushwood.protocol.TestMessages.messageTypes;
 import static rushwood.protocol.TestMessages.query;
 import static rushwood.protocol.TestMessages.startup;
+import static rushwood.server.RouterProcessFixture.endpointJson;
+import static rushwood.server.Statements.SERVED;
+import static rushwood.server.Statements.STARTED;
+import static rushwood.server.Statements.read;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.util.Arrays;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** SIGTERM and SIGHUP while a router starts. */
-class StartupSignalTest extends UnstartedRouterFixture {
+class StartupSignalTest {
+  /** From SIGTERM to the end of a process that does not serve. */
+  private static final long MAX_EARLY_EXIT_MILLIS = 2500;
+
+  @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.unstarted();
+
   /** SIGTERM as soon as the router can be reached, with a request on its way. */
   @Test
   void terminatedAsItBeginsToListen() throws Exception {
     for (int i = 0; i < 3; i++) {
-      launchProcess();
+      router.launch();
       Socket socket = connectOnceListening();
       socket.getOutputStream().write(concat(startup(), query(read("r" + i))));
-      long signalledAt = terminate();
-      socket.setSoTimeout(TIMEOUT_MILLIS);
+      long signalledAt = router.terminate();
+      socket.setSoTimeout(Await.TIMEOUT_MILLIS);
       assertEquals(
           STARTED + " " + SERVED,
           messageTypes(socket.getInputStream().readAllBytes()),
-          processOutput::toString);
+          router::output);
       socket.close();
-      assertExitsInTime(signalledAt);
+      router.assertExitsInTime(signalledAt);
     }
   }
 
   private Socket connectOnceListening() {
-    long deadline = deadline();
+    long deadline = Await.deadline();
     while (System.nanoTime() < deadline) {
       try {
-        return new Socket("127.0.0.1", port);
+        return new Socket("127.0.0.1", router.port());
       } catch (IOException notYet) {
         Thread.onSpinWait();
       }
     }
-    throw new AssertionError("the router does not listen: " + processOutput);
+    throw new AssertionError("the router does not listen: " + router.output());
   }
 
   /** SIGTERM before the router listens: it never does, and ends at once. */
   @Test
   void terminatedBeforeItListens() throws Exception {
-    discovery.unansweredCalls.set(1000);
+    router.discovery().unansweredCalls.set(1000);
     for (long delayMillis : new long[] {0, 300, 600, 900, 1200}) {
-      launchProcess();
-      Thread.sleep(delayMillis);
-      long signalledAt = terminate();
-      assertTrue(process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      router.launch();
+      Thread.sleep(delayMillis); // the moment of the signal is what varies
+      long signalledAt = router.terminate();
+      router.awaitExit();
+      long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
       assertTrue(
-          System.nanoTime() - signalledAt < 2_500_000_000L
-              || processOutput.stream().anyMatch(each -> each.contains("serves at")),
-          "it ends at once");
+          elapsedMillis < MAX_EARLY_EXIT_MILLIS || !router.outputWith("serves at").isEmpty(),
+          () ->
+              "SIGTERM "
+                  + delayMillis
+                  + " ms after the launch: it ended after "
+                  + elapsedMillis
+                  + " ms: "
+                  + router.output());
     }
   }
 
@@ -68,38 +83,42 @@
     StandInDiscovery otherDiscovery = new StandInDiscovery();
     try {
       otherDiscovery.endpointList =
-          endpointListJson(
-              true, endpointJson("a", primary, "Ready"), endpointJson("b", replica, "Ready"));
-      launchProcess();
+          router.endpointListJson(
+              true,
+              endpointJson("a", router.primary(), "Ready"),
+              endpointJson("b", router.replica(), "Ready"));
+      router.launch();
       awaitWarmup();
-      Files.writeString(folder.resolve("config.json"), "{\"name\":");
-      sendHangUp();
-      Thread.sleep(100);
-      writeConfig(otherDiscovery);
-      sendHangUp();
-      awaitLogLine("discovery is now at");
-      awaitWatchRequest(otherDiscovery, listVersion);
-      long deadline = deadline();
-      while (process.isAlive() && System.nanoTime() < deadline) {
-        try (TestClient client = new TestClient(port)) {
-          assertEquals(SERVED, client.query(read("r1")));
-          return;
-        } catch (IOException notYet) {
-          Thread.sleep(20);
-        }
-      }
-      throw new AssertionError("the router has exited, or serves nobody: " + processOutput);
+      Files.writeString(router.configFile(), "{\"name\":");
+      router.sendSignal("HUP");
+      Thread.sleep(100); // two signals at once may count as one
+      router.writeConfig(otherDiscovery);
+      router.sendSignal("HUP");
+      router.awaitLogLine("discovery is now at");
+      otherDiscovery.awaitWatchRequest(router.listVersion());
+      Await.until(
+          this::isServing, () -> "the router has exited, or serves nobody: " + router.output());
     } finally {
       otherDiscovery.close();
     }
   }
 
-  /** Waits for the folder of the warm-up: then the program runs, and is far from being ready. */
-  private void awaitWarmup() throws InterruptedException {
-    long deadline = deadline();
-    while (Arrays.stream(folder.toFile().list()).noneMatch(each -> each.startsWith("warmup"))) {
-      assertTrue(System.nanoTime() < deadline, () -> "no warm-up: " + processOutput);
-      Thread.sleep(1);
+  private boolean isServing() {
+    try (TestClient client = router.connect()) {
+      assertEquals(SERVED, client.query(read("r1")));
+      return true;
+    } catch (IOException notYet) {
+      assertTrue(router.isAlive(), router::output);
+      return false;
     }
   }
+
+  /** Waits for the folder of the warm-up: then the program runs, and is far from being ready. */
+  private void awaitWarmup() throws Exception {
+    Await.until(
+        () ->
+            Arrays.stream(router.folder().toFile().list())
+                .anyMatch(file -> file.startsWith("warmup")),
+        () -> "no warm-up: " + router.output());
+  }
 }
--- a/router/src/test/java/rushwood/server/TestClient.java
+++ b/router/src/test/java/rushwood/server/TestClient.java
@@ -22,9 +22,9 @@
 
   TestClient(int port) throws IOException {
     socket = new Socket("127.0.0.1", port);
-    socket.setSoTimeout(RouterProcessFixture.TIMEOUT_MILLIS);
+    socket.setSoTimeout(Await.TIMEOUT_MILLIS);
     socket.getOutputStream().write(TestMessages.startup());
-    assertEquals(RouterProcessFixture.STARTED, readResponse());
+    assertEquals(Statements.STARTED, readResponse());
   }
 
   void send(String statement) throws IOException {
