--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -60,7 +60,7 @@
       assertTrue(counters.get(Counter.ATTEMPTS_NOT_SENT) > 0, counters::toString);
       assertEquals(0, counters.get(Counter.ATTEMPTS_CONNECT_FAILED), counters::toString);
     }
-    assertEquals(List.of(), router.outputWith("UNREACHABLE"));
+    assertEquals(List.of(), router.outputWith("ejected host"));
   }
 
   /**
