--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -17,12 +17,16 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
 /** Backends that refuse requests, reset connections or cut their responses short. */
 class BackendFailureTest {
+  /** Within this time a backend whose responses were cut short is used again. */
+  private static final long MAX_RECOVERY_MILLIS = 600;
+
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
 
   @Test
@@ -80,7 +84,7 @@
         if (!leavesHalfMessage) {
           router.primary().closeConnections();
         }
-        Thread.sleep(i % 5);
+        Thread.sleep(i % 5); // the close is read before, between and after the next bytes
       }
       CounterSnapshot counters = client.readCounters();
       assertEquals(0, counters.get(Counter.REQUESTS_FAILED), counters::toString);
@@ -116,7 +120,7 @@
             more++) { // the health-check budget is a share of the requests
           client.query(read("r" + i + "-" + more));
         }
-        Thread.sleep(600); // then the primary gets a trial request again
+        Thread.sleep(600); // so long the primary gets no trial request
       }
     }
     assertTrue(started > 1, "the primary was tried again: " + started);
@@ -154,7 +158,13 @@
     router.replica().keepsConnectionOpen = false;
     router.primary().respondWith(whole);
     router.replica().respondWith(whole);
-    Thread.sleep(600);
+    AtomicInteger tries = new AtomicInteger();
+    try (TestClient client = router.connect()) {
+      Await.until(
+          MAX_RECOVERY_MILLIS,
+          () -> client.query(read("again" + tries.incrementAndGet())).equals(SERVED),
+          () -> "not served " + tries + " times after the backends recovered");
+    }
     for (int i = 0; i < 30; i++) {
       try (TestClient client = router.connect()) {
         assertEquals(SERVED, client.query(read("whole" + i)));
--- a/router/src/test/java/rushwood/server/ClientDisconnectTest.java
+++ b/router/src/test/java/rushwood/server/ClientDisconnectTest.java
@@ -36,6 +36,9 @@
   /** Longer than the 100 ms after the disconnect within which an attempt may still begin. */
   private static final int DISCONNECT_MILLIS = 150;
 
+  /** Time for an attempt that should have been withheld to arrive at a backend. */
+  private static final int LATE_ATTEMPT_MILLIS = 300;
+
   private static final int CLIENT_COUNT = 50;
 
   @RegisterExtension
@@ -56,6 +59,16 @@
     }
   }
 
+  /** Time itself is tested: an attempt that begins later than this is a fault. */
+  private static void letDisconnectTakeEffect() throws InterruptedException {
+    Thread.sleep(DISCONNECT_MILLIS);
+  }
+
+  /** Nothing shows that nothing comes but time. */
+  private static void letLateAttemptsArrive() throws InterruptedException {
+    Thread.sleep(LATE_ATTEMPT_MILLIS);
+  }
+
   private TestClient connectClient() throws IOException {
     TestClient client = router.connect();
     clients.add(client);
@@ -97,7 +110,7 @@
     for (TestClient client : leaving) {
       action.apply(client);
     }
-    Thread.sleep(DISCONNECT_MILLIS);
+    letDisconnectTakeEffect();
     TestClient late = connectClient();
     late.send(read("stays", LONG_TIMEOUT_MILLIS));
     awaitAcceptedRequests(CLIENT_COUNT + 2);
@@ -208,16 +221,15 @@
       router.primary().startupGate = connectionsOpen;
       router.replica().closeConnections();
       router.primary().closeConnections();
-      Thread.sleep(50);
-      TestClient staying = connectClient();
+      TestClient staying = connectClient(); // by then the router has read that they are closed
       long before = staying.readCounters().get(Counter.REQUESTS_RECEIVED);
       TestClient leaving = connectClient();
       leaving.send(read("gone" + before, LONG_TIMEOUT_MILLIS));
       awaitAcceptedRequests(before + 1);
       action.apply(leaving);
-      Thread.sleep(DISCONNECT_MILLIS);
+      letDisconnectTakeEffect();
       connectionsOpen.countDown();
-      Thread.sleep(100);
+      letLateAttemptsArrive();
       assertNothingSentForDisconnected();
       assertEquals(SERVED, staying.query(read("stays" + before)));
     }
@@ -245,10 +257,10 @@
             .write(concat(startup(), query(read("gone" + i, LONG_TIMEOUT_MILLIS))));
       }
     }
-    Thread.sleep(DISCONNECT_MILLIS);
+    letDisconnectTakeEffect();
     router.sendSignal("CONT");
     assertEquals(SERVED, staying.query(read("second")));
-    Thread.sleep(100);
+    letLateAttemptsArrive();
     assertNothingSentForDisconnected();
   }
 
@@ -266,19 +278,19 @@
       waiting.get(i).send(write("gone" + i, 4000));
     }
     awaitAcceptedRequests(CLIENT_COUNT);
-    Thread.sleep(DISCONNECT_MILLIS);
+    letDisconnectTakeEffect();
     router.sendSignal("STOP");
     release.countDown();
     for (TestClient client : waiting) {
       client.close();
     }
-    Thread.sleep(DISCONNECT_MILLIS);
+    letDisconnectTakeEffect();
     List<String> started = router.receivedWithId("gone");
     assertTrue(
         !started.isEmpty() && started.size() < CLIENT_COUNT,
         started.size() + " attempts began at once");
     router.sendSignal("CONT");
-    Thread.sleep(300);
+    letLateAttemptsArrive();
     assertEquals(
         started,
         router.receivedWithId("gone"),
--- a/router/src/test/java/rushwood/server/ConnectionLimitTest.java
+++ b/router/src/test/java/rushwood/server/ConnectionLimitTest.java
@@ -23,6 +23,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
@@ -56,16 +57,19 @@
   }
 
   /** Tries to connect until the router has ended enough of the other connections. */
-  private TestClient connectOnceAccepted() throws InterruptedException {
-    for (int waitedMillis = 0; waitedMillis < Await.TIMEOUT_MILLIS; waitedMillis += 50) {
-      Thread.sleep(50);
-      try {
-        return router.connect();
-      } catch (AssertionError | IOException e) {
-        // not accepted yet
-      }
-    }
-    throw new AssertionError("no connection was accepted");
+  private TestClient connectOnceAccepted() throws Exception {
+    AtomicReference<TestClient> accepted = new AtomicReference<>();
+    Await.until(
+        () -> {
+          try {
+            accepted.set(router.connect());
+            return true;
+          } catch (AssertionError | IOException notYet) {
+            return false;
+          }
+        },
+        () -> "no connection was accepted");
+    return accepted.get();
   }
 
   /** Idle clients are closed for new ones, the one that has been idle the longest first. */
@@ -77,7 +81,7 @@
         idle.add(router.connect());
         assertEquals(EMPTY, idle.get(i).query(""));
       }
-      Thread.sleep(150);
+      Thread.sleep(150); // the others are idle for that long when this client is not
       assertEquals(EMPTY, client.query(""));
       TestClient late = router.connect();
       idle.add(late);
@@ -203,19 +207,22 @@
         clients.add(router.connect());
       }
       router.sendSignal("STOP");
+      List<Thread> senders = new ArrayList<>();
       for (TestClient sender : clients) {
-        StandInServer.startThread(() -> sender.sendBytes(all.toByteArray()));
+        senders.add(StandInServer.startThread(() -> sender.sendBytes(all.toByteArray())));
       }
-      Thread.sleep(500);
+      Thread.sleep(500); // until the buffers of the kernel are full, which shows nowhere
       router.sendSignal("CONT");
       for (int i = 0; i < 20; i++) {
         String answer = staying.query(read("r" + i));
         assertServedOrRejected(answer);
       }
-      Thread.sleep(300);
-      CounterSnapshot counters = staying.readCounters();
+      for (Thread sender : senders) {
+        Await.end(sender);
+      }
+      CounterSnapshot counters =
+          awaitCounters(staying, latest -> latest.get(Counter.CLIENTS_REFUSED) > 0);
       assertEquals(0, counters.get(Counter.EXCEPTIONS_CAUGHT), counters::toString);
-      assertTrue(counters.get(Counter.CLIENTS_REFUSED) > 0, counters::toString);
       assertEquals(SERVED, staying.query(read("last")));
     } finally {
       for (TestClient open : clients) {
--- a/router/src/test/java/rushwood/server/EndpointUpdateDeadlineTest.java
+++ b/router/src/test/java/rushwood/server/EndpointUpdateDeadlineTest.java
@@ -1,7 +1,6 @@
 package rushwood.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rushwood.protocol.TestMessages.startup;
 import static rushwood.server.RouterProcessFixture.FIRST_LIST_VERSION;
 import static rushwood.server.RouterProcessFixture.endpointJson;
@@ -56,14 +55,13 @@
   /** Asserts that the new backend gets requests in time, and the draining one none from then on. */
   private void assertUpdateTakesEffect(TestClient client) throws Exception {
     newBackend.receivedStatements.clear();
-    long from = System.nanoTime();
-    while (receivedReads(newBackend).isEmpty()) {
-      assertTrue(
-          System.nanoTime() - from < MAX_UPDATE_MILLIS * 1_000_000,
-          "no request sent to the new backend within " + MAX_UPDATE_MILLIS + " ms");
-      assertEquals(SERVED, client.query(read("r" + requestCount++)));
-      Thread.sleep(10);
-    }
+    Await.until(
+        MAX_UPDATE_MILLIS,
+        () -> {
+          assertEquals(SERVED, client.query(read("r" + requestCount++)));
+          return !receivedReads(newBackend).isEmpty();
+        },
+        () -> "no request sent to the new backend within " + MAX_UPDATE_MILLIS + " ms");
     router.replica().receivedStatements.clear();
     for (int i = 0; i < 20; i++) {
       assertEquals(SERVED, client.query(read("r" + requestCount++)));
@@ -100,7 +98,7 @@
         () -> {
           while (!isOver.get()) {
             router.discovery().watchEvents.add("");
-            Thread.sleep(100);
+            Thread.sleep(100); // the interval of the heartbeats
           }
         });
     try (TestClient client = connectClient()) {
@@ -129,7 +127,7 @@
       router.discovery().unansweredCalls.set(1000);
       router.discovery().closeConnections();
       updateListWithoutWatchEvent();
-      Thread.sleep(2500);
+      Thread.sleep(2500); // longer than any pause between two calls of the router
       router.discovery().unansweredCalls.set(0);
       assertUpdateTakesEffect(client);
     }
--- a/router/src/test/java/rushwood/server/GracefulShutdownTest.java
+++ b/router/src/test/java/rushwood/server/GracefulShutdownTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rushwood.protocol.TestMessages.messageTypes;
 import static rushwood.protocol.TestMessages.query;
+import static rushwood.server.Statements.EMPTY;
 import static rushwood.server.Statements.REJECTED;
 import static rushwood.server.Statements.SERVED;
 import static rushwood.server.Statements.assertServedOrRejected;
@@ -37,7 +38,7 @@
       int count = 0;
       while (System.nanoTime() - signalledAt < 2_300_000_000L) {
         assertEquals(SERVED, idle.query(read("r" + count++)));
-        Thread.sleep(10);
+        Thread.sleep(10); // requests keep coming until the time is over
       }
       assertTrue(idle.isEnded());
       router.assertExitsInTime(signalledAt);
@@ -52,7 +53,7 @@
   void closesIdleConnectionsEarlierAfterAPause() throws Exception {
     router.launchAndAwaitReady();
     router.sendSignal("STOP");
-    Thread.sleep(1600);
+    Thread.sleep(1600); // the length of the pause
     router.sendSignal("CONT");
     Thread.sleep(200); // what comes right after a pause may have come at its start
     try (TestClient idle = router.connect();
@@ -63,7 +64,7 @@
               statement -> 1000, StandInBackend.rowResponse("v", "replica"));
       router.primary().responder = router.replica().responder;
       waiting.send(read("r2", 3000));
-      Thread.sleep(200);
+      awaitReceived("r2");
       long signalledAt = router.terminate();
       assertTrue(idle.isEnded());
       long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
@@ -106,9 +107,13 @@
       byte[] firstHalf = Arrays.copyOf(statement, 30);
       halfWritten.sendBytes(firstHalf);
       silent.sendBytes(firstHalf);
-      Thread.sleep(100);
+      awaitReceived("slow");
+      awaitReceived("slow-ahead0");
+      try (TestClient late = router.connect()) {
+        assertEquals(EMPTY, late.query(""), "the halves were read before");
+      }
       long signalledAt = router.terminate();
-      Thread.sleep(2000);
+      Thread.sleep(2000); // the second half comes late in the time that is left
       halfWritten.sendBytes(Arrays.copyOfRange(statement, firstHalf.length, statement.length));
       assertServedOrRejected(waiting.readResponse());
       assertServedOrRejected(halfWritten.readResponse());
@@ -154,10 +159,12 @@
               }));
     }
     threads.forEach(Thread::start);
-    Thread.sleep(300);
+    Await.until(
+        () -> router.receivedStatements().size() >= threads.size(),
+        () -> "the load does not begin");
     long signalledAt = router.terminate();
     for (Thread thread : threads) {
-      thread.join(Await.TIMEOUT_MILLIS);
+      Await.end(thread);
     }
     router.assertExitsInTime(signalledAt);
     int received = router.receivedStatements().size();
@@ -173,10 +180,10 @@
     router.launchAndAwaitReady();
     try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
-      Thread.sleep(100);
+      Thread.sleep(100); // turns without work lie between the request and the pause
       router.sendSignal("STOP");
       long signalledAt = router.terminate();
-      Thread.sleep(1000);
+      Thread.sleep(1000); // the length of the pause after the signal
       router.sendSignal("CONT");
       client.send(read("r2", 5000));
       String answered = messageTypes(client.socket.getInputStream().readAllBytes());
@@ -216,6 +223,11 @@
     router.awaitExit();
   }
 
+  private void awaitReceived(String id) throws Exception {
+    Await.until(
+        () -> !router.receivedWithId(id + ",").isEmpty(), () -> id + " was not sent to a backend");
+  }
+
   private static long delayMillis(String statement) {
     if (statement.contains("slow")) {
       return 1500;
