--- a/testbed/src/main/java/rushwood/testbed/load/ExperimentResult.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ExperimentResult.java
@@ -79,7 +79,7 @@
   /** Adds to a series at a time, in nanoseconds from the experiment's start. */
   public void addToSeries(String series, long elapsedNanos, double value) {
     timeSeries
-        .computeIfAbsent(series, each -> new TimeSeries())
+        .computeIfAbsent(series, newSeries -> new TimeSeries())
         .add((int) Math.max(0, elapsedNanos / (STEP_SECONDS * 1e9)), value);
   }
 
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -50,7 +50,7 @@
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
 public class OverloadBenchmark {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final HostId HOST = new HostId("a");
   private static final GroupId GROUP = new GroupId(1);
 
@@ -59,12 +59,13 @@
   private static final long FINGERPRINT_MASK = 4095;
   private static final double EXPECTED_RATE = 1000;
 
-  private final RepeatSketch repeatSketch = new RepeatSketch(SKETCH_CELLS, 1000 * MS);
-  private final RetryAfterSchedule retryAfterSchedule = new RetryAfterSchedule(500 * MS);
+  private final RepeatSketch repeatSketch = new RepeatSketch(SKETCH_CELLS, 1000 * NANOS_PER_MILLI);
+  private final RetryAfterSchedule retryAfterSchedule =
+      new RetryAfterSchedule(500 * NANOS_PER_MILLI);
   private RequestClass requestClass;
   private RoutingPolicy policyAlone;
   private RoutingPolicy policyWithOverloadControl;
-  private long now = 1_000_000 * MS;
+  private long now = 1_000_000 * NANOS_PER_MILLI;
   private long nextRequestNumber;
 
   /**
@@ -129,10 +130,12 @@
   }
 
   private void handleOneRequest(RoutingPolicy policy) {
-    now += MS;
+    now += NANOS_PER_MILLI;
     RequestId id = new RequestId(Long.toString(nextRequestNumber++));
     policy.requestReceived(
-        now, new Request(id, requestClass, null, GROUP, now + 1000 * MS, 0, nextRequestNumber, 0));
+        now,
+        new Request(
+            id, requestClass, null, GROUP, now + 1000 * NANOS_PER_MILLI, 0, nextRequestNumber, 0));
     policy.attemptFinished(
         now,
         new AttemptResult(
@@ -140,7 +143,7 @@
             0,
             HOST,
             AttemptOutcome.SUCCESS,
-            MS,
+            NANOS_PER_MILLI,
             true,
             HostRole.UNKNOWN,
             AttemptResult.NO_POSITION,
@@ -163,7 +166,7 @@
   /** Counting a fingerprint and looking another one up. */
   @Benchmark
   public int countRepeat() {
-    now += MS / 10;
+    now += NANOS_PER_MILLI / 10;
     repeatSketch.add(nextRequestNumber++ & FINGERPRINT_MASK, now);
     return repeatSketch.count(nextRequestNumber & FINGERPRINT_MASK, now);
   }
@@ -171,7 +174,7 @@
   /** Reserving a time to come back. */
   @Benchmark
   public long reserveRetryAfter() {
-    now += MS;
-    return retryAfterSchedule.reserve(now, 1, true, 0, 500 * MS).waitNanos();
+    now += NANOS_PER_MILLI;
+    return retryAfterSchedule.reserve(now, 1, true, 0, 500 * NANOS_PER_MILLI).waitNanos();
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -5,10 +5,10 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import java.util.SplittableRandom;
+import rushwood.testbed.standin.ErrorCodes;
 import rushwood.testbed.standin.Loopback;
 import rushwood.testbed.standin.MessageEncoder;
 import rushwood.testbed.standin.ProtocolMessage;
-import rushwood.testbed.standin.SqlState;
 import rushwood.testbed.standin.Statement;
 
 /**
@@ -255,7 +255,8 @@
       if (error.errorField(ProtocolMessage.SEVERITY_FIELD).orElse("").equals("FATAL")) {
         connected = false;
       }
-      TryOutcome outcome = SqlState.isRejection(sqlState) ? TryOutcome.REJECTED : TryOutcome.FAILED;
+      TryOutcome outcome =
+          ErrorCodes.isRejection(sqlState) ? TryOutcome.REJECTED : TryOutcome.FAILED;
       endTry(outcome, retryAfterMillis * NANOS_PER_MILLI);
     }
 
--- a/testbed/src/main/java/rushwood/testbed/model/RetryBehavior.java
+++ b/testbed/src/main/java/rushwood/testbed/model/RetryBehavior.java
@@ -18,11 +18,11 @@
   @JsonProperty("rude")
   IMMEDIATE;
 
-  private static final long MS = 1_000_000L;
-  private static final long FIRST_BACKOFF = 50 * MS; // common in client libraries
-  private static final long MAX_BACKOFF = 2000 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long FIRST_BACKOFF = 50 * NANOS_PER_MILLI; // common in client libraries
+  private static final long MAX_BACKOFF = 2000 * NANOS_PER_MILLI;
   private static final int MAX_DOUBLINGS = 10; // keeps the shift from overflowing
-  private static final long IMMEDIATE_DELAY = 5 * MS; // a loop with a round trip in it
+  private static final long IMMEDIATE_DELAY = 5 * NANOS_PER_MILLI; // a loop with a round trip in it
 
   /**
    * Nanoseconds until the next try.
--- a/testbed/src/main/java/rushwood/testbed/model/WriteLedger.java
+++ b/testbed/src/main/java/rushwood/testbed/model/WriteLedger.java
@@ -22,7 +22,7 @@
   private final Map<Integer, Entry> entries = new TreeMap<>();
 
   private Entry entry(int client) {
-    return entries.computeIfAbsent(client, each -> new Entry());
+    return entries.computeIfAbsent(client, newClient -> new Entry());
   }
 
   /** A host ran the try with that id of that client's write. */
--- a/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
@@ -26,9 +26,9 @@
  * only attempts to connect to hosts that are down are counted. An instance runs once.
  */
 public final class Simulation {
-  private static final long MS = 1_000_000L;
-  private static final long START_TIME = 1_000_000_000L * MS; // some Unix time
-  private static final long SAMPLE_INTERVAL = 100 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long START_TIME = 1_000_000_000L * NANOS_PER_MILLI; // some Unix time
+  private static final long SAMPLE_INTERVAL = 100 * NANOS_PER_MILLI;
 
   private final Experiment experiment;
   private final RoutingSettings settings;
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualHost.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualHost.java
@@ -15,7 +15,7 @@
 
 /** A host in virtual time: its model, and the attempts that are in flight at it. */
 final class VirtualHost {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final ZoneId ZONE = new ZoneId("a");
   private static final double WEIGHT = 1;
 
@@ -58,7 +58,7 @@
         new GroupId(spec.group()),
         ZONE,
         WEIGHT,
-        startedMillis * MS,
+        startedMillis * NANOS_PER_MILLI,
         model.isPrimary(),
         Endpoint.State.READY);
   }
@@ -73,7 +73,7 @@
   /** Starts its process anew. */
   void restart() {
     model.restart(events.now());
-    startedMillis = events.now() / MS;
+    startedMillis = events.now() / NANOS_PER_MILLI;
   }
 
   /** An attempt that was sent to it, which arrives after the latency. */
--- a/testbed/src/main/java/rushwood/testbed/standin/ErrorCodes.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/ErrorCodes.java
@@ -1,7 +1,10 @@
 package rushwood.testbed.standin;
 
-/** The SQLSTATEs that the stand-ins send and understand. */
-public final class SqlState {
+/**
+ * The error codes (SQLSTATEs) that stand-in hosts send and clients understand. They share no code
+ * with the router's own, so that a fault there is not hidden by the same fault here.
+ */
+public final class ErrorCodes {
   /** too_many_connections: a host is overloaded, or a router rejects a request. */
   public static final String TOO_MANY_CONNECTIONS = "53300";
 
@@ -14,7 +17,7 @@
   /** snapshot_too_old: a replica lags too far for a read. */
   public static final String SNAPSHOT_TOO_OLD = "72000";
 
-  private SqlState() {}
+  private ErrorCodes() {}
 
   /** Whether a router says by it that the request has not run and may be tried again. */
   public static boolean isRejection(String sqlState) {
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
@@ -20,7 +20,7 @@
  */
 public final class StandinHost {
   private static final int INITIAL_BUFFER_BYTES = 256;
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final HostModel model;
   private final EventLoop loop;
@@ -139,10 +139,10 @@
         }
         case OVERLOADED -> {
           overloadedReplies++;
-          writeError(out, SqlState.TOO_MANY_CONNECTIONS);
+          writeError(out, ErrorCodes.TOO_MANY_CONNECTIONS);
         }
-        case NOT_PRIMARY -> writeError(out, SqlState.READ_ONLY_TRANSACTION);
-        case REPLICA_LAGGING -> writeError(out, SqlState.SNAPSHOT_TOO_OLD);
+        case NOT_PRIMARY -> writeError(out, ErrorCodes.READ_ONLY_TRANSACTION);
+        case REPLICA_LAGGING -> writeError(out, ErrorCodes.SNAPSHOT_TOO_OLD);
         case ACCEPTED -> {
           int incarnation = model.incarnation();
           loop.schedule(
@@ -181,7 +181,7 @@
 
     /** Position in seconds as x0, role as x1, as the settings' load report names them. */
     private void writeLoadReport(ByteBuf out) {
-      long position = model.position(clock.getAsLong()) / MS;
+      long position = model.position(clock.getAsLong()) / NANOS_PER_MILLI;
       String seconds = position / 1000 + "." + String.format("%03d", position % 1000);
       MessageEncoder.writeRow(out, "x0=" + seconds + ",x1=" + (model.isPrimary() ? 1 : 0));
       MessageEncoder.writeReadyForQuery(out);
@@ -192,7 +192,7 @@
           model.isPrimary() ? StandinDiscovery.ROLE_PRIMARY : StandinDiscovery.ROLE_REPLICA;
       MessageEncoder.writeParameterStatus(out, "part", role);
       MessageEncoder.writeParameterStatus(
-          out, "caught_up_to", Long.toString(model.position(clock.getAsLong()) / MS));
+          out, "caught_up_to", Long.toString(model.position(clock.getAsLong()) / NANOS_PER_MILLI));
       MessageEncoder.writeReadyForQuery(out);
     }
 
--- a/testbed/src/test/java/rushwood/testbed/OverloadSimulationTest.java
+++ b/testbed/src/test/java/rushwood/testbed/OverloadSimulationTest.java
@@ -71,7 +71,7 @@
     ExperimentResult result = simulate(read("hosts-hang"));
     assertFigure(1, result, ReportNames.SHARE_SUCCEEDED);
     List<Double> goodput = result.timeSeries().get(ReportNames.GOODPUT_SERIES).values();
-    double late = goodput.subList(100, 140).stream().mapToDouble(each -> each).sum() / 4;
+    double late = goodput.subList(100, 140).stream().mapToDouble(Double::doubleValue).sum() / 4;
     assertTrue(
         late > 0.97 * 800,
         late + " a second of 800 that come, five seconds after the end of the cause");
