--- a/testbed/src/test/java/rushwood/testbed/ColdHostClusterTest.java
+++ b/testbed/src/test/java/rushwood/testbed/ColdHostClusterTest.java
@@ -40,7 +40,7 @@
    * chance.
    */
   private void assertColdHostBearsItsLoad() throws Exception {
-    Thread.sleep(4000);
+    Thread.sleep(4000); // the coldest seconds of the 14 that it warms up
     double bearable =
         PARAMETERS.overloadMultiple()
             * PARAMETERS.coldStartSpeed()
@@ -55,7 +55,7 @@
 
   @Test
   void hostRestartsUnderLoad() throws Exception {
-    Thread.sleep(1500);
+    Await.requestsOfEachRouter(cluster, 3 * REQUESTS_PER_SECOND / 2);
     cluster.runOnLoop(() -> cluster.restartHost(COLD_HOST));
     assertColdHostBearsItsLoad();
   }
@@ -63,7 +63,7 @@
   /** No router remembers what the warm hosts do. */
   @Test
   void allRoutersRestartTogetherWithTheHost() throws Exception {
-    Thread.sleep(500);
+    Await.requestsOfEachRouter(cluster, REQUESTS_PER_SECOND / 2);
     for (ClusterMember member : cluster.members()) {
       member.process().signal("KILL");
     }
--- a/testbed/src/test/java/rushwood/testbed/DrainingCluster.java
+++ b/testbed/src/test/java/rushwood/testbed/DrainingCluster.java
@@ -19,11 +19,9 @@
 
   private static final int ROUTERS = 3;
   private static final int HOSTS = 4;
-  private static final int REQUESTS_PER_SECOND = 150; // and router
+  static final int REQUESTS_PER_SECOND = 150; // and router
   private static final long DRAIN_GRACE_MILLIS = 500; // leaves some room for a busy machine
   private static final long MARGIN_MILLIS = 300; // after the grace, to see what still comes
-  private static final int TIMEOUT_MILLIS = 10_000;
-  private static final int POLL_MILLIS = 10;
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /** What happens as the host is announced. */
@@ -62,23 +60,17 @@
    */
   void awaitTraffic() throws IOException, InterruptedException {
     long from = cluster.now();
-    for (int waited = 0; waited < TIMEOUT_MILLIS; waited += POLL_MILLIS) {
-      if (cluster.computeOnLoop(() -> allHaveSentSince(from))) {
-        return;
-      }
-      Thread.sleep(POLL_MILLIS);
-    }
-    throw new AssertionError(DRAINED_HOST + " gets nothing: " + member(0).process().log());
+    Await.onLoop(cluster, () -> allHaveSentSince(from), DRAINED_HOST + " gets nothing");
   }
 
   private boolean allHaveSentSince(long from) {
-    return cluster.members().stream().allMatch(each -> each.lastRequestAt(DRAINED_HOST) > from);
+    return cluster.members().stream().allMatch(member -> member.lastRequestAt(DRAINED_HOST) > from);
   }
 
   /** All agents list the host with that state. */
   void announce(Endpoint.State state) throws InterruptedException {
     cluster.runOnLoop(
-        () -> cluster.members().forEach(each -> cluster.announce(each, DRAINED_HOST, state)));
+        () -> cluster.members().forEach(member -> cluster.announce(member, DRAINED_HOST, state)));
   }
 
   /** The host is back, and waits until all routers use it again. */
@@ -102,7 +94,7 @@
   /** Asserts the same of an announcement that has been made. */
   void assertDrainedSince(long announcedAt) throws IOException, InterruptedException {
     long sentBefore = cluster.computeOnLoop(() -> member(0).load().sent());
-    Thread.sleep(DRAIN_GRACE_MILLIS + MARGIN_MILLIS);
+    Thread.sleep(DRAIN_GRACE_MILLIS + MARGIN_MILLIS); // nothing may come late in this time
     long lastRequest = cluster.computeOnLoop(this::lastRequestAt) - announcedAt;
     assertTrue(
         lastRequest < DRAIN_GRACE_MILLIS * NANOS_PER_MILLI,
@@ -112,7 +104,7 @@
 
   private long lastRequestAt() {
     return cluster.members().stream()
-        .mapToLong(each -> each.lastRequestAt(DRAINED_HOST))
+        .mapToLong(member -> member.lastRequestAt(DRAINED_HOST))
         .max()
         .orElseThrow();
   }
--- a/testbed/src/test/java/rushwood/testbed/EndpointDrainTest.java
+++ b/testbed/src/test/java/rushwood/testbed/EndpointDrainTest.java
@@ -67,7 +67,7 @@
         () -> {
           draining.changeAgents(agent -> agent.setOffline(true));
           draining.announce(Endpoint.State.DRAINING);
-          Thread.sleep(100);
+          Thread.sleep(100); // the routers ask in vain
           draining.changeAgents(agent -> agent.setOffline(false));
         });
   }
@@ -76,12 +76,12 @@
   @Test
   void announcedAsDiscoveryReturns() throws Exception {
     draining.changeAgents(agent -> agent.setUnresponsive(true));
-    Thread.sleep(3700);
+    Thread.sleep(3700); // the time that it was away
     draining.announce(Endpoint.State.DRAINING);
     draining.assertDrainedBy(() -> draining.changeAgents(agent -> agent.setUnresponsive(false)));
     draining.announceReady();
     draining.changeAgents(agent -> agent.setOffline(true));
-    Thread.sleep(2300);
+    Thread.sleep(2300); // the time that it was away
     draining.announce(Endpoint.State.DRAINING);
     draining.assertDrainedBy(() -> draining.changeAgents(agent -> agent.setOffline(false)));
   }
@@ -110,17 +110,18 @@
     member.process().signal("KILL");
     cluster.runOnLoop(() -> member.load().pause());
     draining.announce(Endpoint.State.DRAINING);
-    Thread.sleep(200);
+    Thread.sleep(200); // what the killed router had sent arrives
     long before = cluster.computeOnLoop(() -> member.requestsSent(DRAINED_HOST));
+    long beforeAtOther = cluster.computeOnLoop(() -> member.requestsSent("h1"));
     member.start(knownEndpoints);
     draining.startLoad();
-    Thread.sleep(1000);
+    Await.requestsOfEachRouter(cluster, DrainingCluster.REQUESTS_PER_SECOND);
     assertEquals(
         before,
         cluster.computeOnLoop(() -> member.requestsSent(DRAINED_HOST)),
         () -> "requests to the leaving host; the router's log: " + logOf(member));
     assertTrue(
-        cluster.computeOnLoop(() -> member.requestsSent("h1")) > 0,
+        cluster.computeOnLoop(() -> member.requestsSent("h1")) > beforeAtOther,
         () -> "the router sends nothing to h1: " + logOf(member));
   }
 
@@ -146,14 +147,14 @@
   @Test
   void announcedWhileTheProcessIsStopped() throws Exception {
     cluster.pauseLoad();
-    Thread.sleep(100);
+    Thread.sleep(100); // the last requests are answered
     for (ClusterMember member : cluster.members()) {
       member.process().signal("STOP");
     }
     long announcedAt = cluster.now();
     draining.announce(Endpoint.State.DRAINING);
     draining.startLoad(); // its requests wait beside the announcement
-    Thread.sleep(600);
+    Thread.sleep(600); // longer than the drain grace
     for (ClusterMember member : cluster.members()) {
       member.process().signal("CONT");
     }
--- a/testbed/src/test/java/rushwood/testbed/MalformedEndpointListTest.java
+++ b/testbed/src/test/java/rushwood/testbed/MalformedEndpointListTest.java
@@ -91,7 +91,7 @@
             agent.rewriteResponses(text -> list);
             agent.resetConnections();
           });
-      Thread.sleep(150);
+      Thread.sleep(150); // the routers ask again and read it
       draining.announce(Endpoint.State.DRAINING);
       draining.assertDrainedBy(() -> draining.changeAgents(StandinDiscovery::stopRewriting));
       draining.announceReady();
