--- a/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeoutException;
 import rushwood.api.Endpoint;
 import rushwood.testbed.model.HostModel;
-import rushwood.testbed.standin.StandinDiscovery;
+import rushwood.testbed.standin.EndpointEntry;
 import rushwood.testbed.standin.StandinHost;
 import rushwood.testbed.standin.Statement;
 
@@ -143,13 +143,12 @@
   }
 
   /** A list entry with that id that leads to that host, whose id it need not be. */
-  public StandinDiscovery.Entry entry(String id, String host, Endpoint.State state) {
+  public EndpointEntry entry(String id, String host, Endpoint.State state) {
     return entry(id, host, state, 0);
   }
 
-  private StandinDiscovery.Entry entry(
-      String id, String host, Endpoint.State state, long startedMillis) {
-    return new StandinDiscovery.Entry(
+  private EndpointEntry entry(String id, String host, Endpoint.State state, long startedMillis) {
+    return new EndpointEntry(
         id, hosts.get(host).address(), GROUP, state, startedMillis, id.equals(PRIMARY));
   }
 
--- a/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
@@ -18,6 +18,7 @@
 import rushwood.api.Endpoint;
 import rushwood.testbed.model.HostModel;
 import rushwood.testbed.model.WriteLedger;
+import rushwood.testbed.standin.EndpointEntry;
 import rushwood.testbed.standin.Loopback;
 import rushwood.testbed.standin.RouterProcess;
 import rushwood.testbed.standin.StandinDiscovery;
@@ -156,7 +157,7 @@
   private void publish(HostSpec spec) {
     StandinHost host = hosts.get(spec.id());
     discovery.publish(
-        new StandinDiscovery.Entry(
+        new EndpointEntry(
             spec.id(),
             host.address(),
             spec.group(),
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinDiscovery.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinDiscovery.java
@@ -29,7 +29,6 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import rushwood.api.Endpoint;
 
 /**
  * A discovery agent on a loopback address: it answers with the full endpoint list, and brings each
@@ -37,55 +36,12 @@
  * All methods but {@link #listen} and {@link #close} are called on its event loop.
  */
 public final class StandinDiscovery {
-  /**
-   * An endpoint as the list has it.
-   *
-   * @param address where its host listens
-   * @param startedMillis when its process started, in Unix time; 0 for long ago
-   */
-  public record Entry(
-      String id,
-      InetSocketAddress address,
-      int group,
-      Endpoint.State state,
-      long startedMillis,
-      boolean isPrimary) {
-    private static final String ZONE = "a";
-    private static final double WEIGHT = 1;
-
-    private ObjectNode toJson() {
-      return JsonNodeFactory.instance
-          .objectNode()
-          .put("id", id)
-          .put("addr", Loopback.format(address))
-          .put("zone", ZONE)
-          .put("cell", group)
-          .put("state", stateWord())
-          .put("weight", WEIGHT)
-          .put("started_ms", startedMillis)
-          .put("part", isPrimary ? ROLE_PRIMARY : ROLE_REPLICA);
-    }
-
-    private String stateWord() {
-      return switch (state) {
-        case READY -> "Ready";
-        case DRAINING -> "Terminating";
-        case REMOVED -> "Gone";
-      };
-    }
-  }
-
-  /** The words for a host's role, in the endpoint list and in a host's own messages. */
-  static final String ROLE_PRIMARY = "master";
-
-  static final String ROLE_REPLICA = "replica";
-
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int HEARTBEAT_SECONDS = 2;
   private static final String HEARTBEAT = "\n";
   private static final String WATCH_PARAMETER = "follow=1";
 
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
   private final EventLoop loop;
   private final LoopbackListener listener;
   private final ChannelGroup watches;
@@ -169,7 +125,7 @@
   }
 
   /** Adds or replaces an endpoint, and tells the watches of it. */
-  public void publish(Entry entry) {
+  public void publish(EndpointEntry entry) {
     entries.put(entry.id(), entry);
     version++;
     sendToWatches(rewriter.apply(listJson(false, List.of(entry))) + "\n");
@@ -189,7 +145,7 @@
     }
   }
 
-  private String listJson(boolean full, List<Entry> listed) {
+  private String listJson(boolean full, List<EndpointEntry> listed) {
     ObjectNode list = JsonNodeFactory.instance.objectNode();
     list.put("version", version).put("full", full);
     ArrayNode servers = list.putArray("servers");
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
@@ -188,9 +188,7 @@
     }
 
     private void writeRoleAndReady(ByteBuf out) {
-      String role =
-          model.isPrimary() ? StandinDiscovery.ROLE_PRIMARY : StandinDiscovery.ROLE_REPLICA;
-      MessageEncoder.writeParameterStatus(out, "part", role);
+      MessageEncoder.writeParameterStatus(out, "part", EndpointEntry.roleWord(model.isPrimary()));
       MessageEncoder.writeParameterStatus(
           out, "caught_up_to", Long.toString(model.position(clock.getAsLong()) / NANOS_PER_MILLI));
       MessageEncoder.writeReadyForQuery(out);
--- a/testbed/src/test/java/rushwood/testbed/standin/StandinDiscoveryTest.java
+++ b/testbed/src/test/java/rushwood/testbed/standin/StandinDiscoveryTest.java
@@ -23,7 +23,7 @@
 
   private void publish(String id, Endpoint.State state, long startedMillis, boolean isPrimary) {
     InetSocketAddress address = new InetSocketAddress("127.0.0.1", 5432);
-    discovery.publish(new StandinDiscovery.Entry(id, address, 1, state, startedMillis, isPrimary));
+    discovery.publish(new EndpointEntry(id, address, 1, state, startedMillis, isPrimary));
   }
 
   /** Each publication counts the version up by one, from 1. */
