--- a/testbed/src/main/java/rushwood/testbed/model/HostModel.java
+++ b/testbed/src/main/java/rushwood/testbed/model/HostModel.java
@@ -55,8 +55,6 @@
    */
   public record OfferResult(OfferStatus status, long completesAt) {}
 
-  private record RecentWork(long at, long durationNanos) {}
-
   private static final long NEVER = Long.MIN_VALUE / 2;
   private static final OfferResult NO_RESPONSE =
       new OfferResult(OfferStatus.NO_RESPONSE, Long.MAX_VALUE);
@@ -69,14 +67,12 @@
   private final SplittableRandom random;
   private final long[] slotFreeAt;
   private final Deque<Long> completionTimes = new ArrayDeque<>(); // of accepted requests, unordered
-  private final Deque<RecentWork> recentWork = new ArrayDeque<>();
+  private final ColdLoad coldLoad;
   private boolean primary;
   private boolean up = true;
   private boolean hung;
   private long startedAt = NEVER;
   private int incarnation;
-  private double recentWorkNanos;
-  private double worstColdOverload;
   private boolean crashOnOverload;
   private int overloadCrashes;
 
@@ -86,6 +82,7 @@
     this.primary = primary;
     random = new SplittableRandom(seed);
     slotFreeAt = new long[parameters.slots()];
+    coldLoad = new ColdLoad(parameters);
   }
 
   /** Sets whether it crashes when it is overloaded while it warms up; else that is only noted. */
@@ -118,7 +115,7 @@
    * window; above 1 it was overloaded.
    */
   public double worstColdOverload() {
-    return worstColdOverload;
+    return coldLoad.worstOverload();
   }
 
   /** Ends its process. */
@@ -135,8 +132,7 @@
     startedAt = now;
     Arrays.fill(slotFreeAt, now);
     completionTimes.clear();
-    recentWork.clear();
-    recentWorkNanos = 0;
+    coldLoad.restart();
   }
 
   /** While it hangs it answers nothing that comes. */
@@ -218,23 +214,13 @@
     return earliest;
   }
 
-  /** Compares the work sent within the window with multiple x present speed x window. */
+  /** Counts the work that comes while it warms up, and crashes of too much if it is to. */
   private void trackColdLoad(long now, long serviceNanos) {
     if (!isWarmingUp(now) || parameters.overloadWindowNanos() <= 0) {
       return;
     }
-    recentWork.add(new RecentWork(now, serviceNanos));
-    recentWorkNanos += serviceNanos;
-    while (recentWork.peek().at() <= now - parameters.overloadWindowNanos()) {
-      recentWorkNanos -= recentWork.poll().durationNanos();
-    }
-    double bearableNanos =
-        parameters.overloadMultiple()
-            * relativeSpeed(now)
-            * parameters.slots()
-            * parameters.overloadWindowNanos();
-    worstColdOverload = Math.max(worstColdOverload, recentWorkNanos / bearableNanos);
-    if (crashOnOverload && recentWorkNanos > bearableNanos) {
+    boolean isOverloaded = coldLoad.add(now, serviceNanos, relativeSpeed(now));
+    if (crashOnOverload && isOverloaded) {
       overloadCrashes++;
       crash();
     }
