--- a/router/src/main/java/rushwood/net/RejectionThrottle.java
+++ b/router/src/main/java/rushwood/net/RejectionThrottle.java
@@ -4,9 +4,17 @@
 import rushwood.dispatch.TimerQueue;
 
 /**
- * Slows down a client that sends one statement after the other that is not accepted: after some in
- * a row its input is paused for a while after each, after more its connection has to be closed.
- * Guards against clients that repeat a statement as soon as it is rejected; others notice nothing.
+ * Slows down a client that sends one statement after the other that is not accepted, by how many
+ * were rejected in a row:
+ *
+ * <ul>
+ *   <li>up to {@link #REJECTIONS_BEFORE_PAUSE}: nothing;
+ *   <li>more: its input is paused for {@link #PAUSE_NANOS} after each;
+ *   <li>more than {@link #MAX_REJECTIONS}: its connection has to be closed.
+ * </ul>
+ *
+ * <p>Guards against clients that repeat a statement as soon as it is rejected; others notice
+ * nothing.
  */
 final class RejectionThrottle {
   private static final int REJECTIONS_BEFORE_PAUSE = 3;
--- a/router/src/main/java/rushwood/net/StatementMemory.java
+++ b/router/src/main/java/rushwood/net/StatementMemory.java
@@ -2,7 +2,8 @@
 
 /**
  * Counts the bytes of statements that are held for all clients: what they sent ahead of their
- * answers, and the requests that are pending.
+ * answers, and the requests that are pending. {@link InputLimit} and {@link RequestSubmitter} ask
+ * it what they may still hold.
  */
 final class StatementMemory {
   private static final long MAX_BYTES = 16 << 20; // a third of the memory for buffers
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -132,7 +132,11 @@
     return outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.OVERLOADED;
   }
 
-  /** Whether the group may have a retry now; budgets count only while it is overloaded. */
+  /**
+   * Whether the group may have a retry now: always while its state {@linkplain
+   * OverloadState#limitsRetries does not limit} retries, else while its {@link RetryBudget} has a
+   * token. An unknown group is not limited.
+   */
   boolean isRetryAllowed(long now, GroupId id) {
     GroupStatistics group = groups.get(id);
     return group == null
--- a/router/src/main/java/rushwood/overload/RetryBudget.java
+++ b/router/src/main/java/rushwood/overload/RetryBudget.java
@@ -2,8 +2,9 @@
 
 /**
  * Limits retries to a share of the first attempts and a number a second that is always allowed: a
- * token bucket in which each first attempt puts a part of a token and each retry takes one. Times
- * are clock times in nanoseconds.
+ * token bucket in which each first attempt puts a part of a token and each retry takes one. It is
+ * kept up to date always and asked only under overload ({@link OverloadStatistics#isRetryAllowed}).
+ * Times are clock times in nanoseconds.
  */
 final class RetryBudget {
   // The failure of a host breaks many attempts at once.
