--- a/router/src/test/java/rushwood/net/FrontendConnectionTest.java
+++ b/router/src/test/java/rushwood/net/FrontendConnectionTest.java
@@ -53,12 +53,12 @@
       new ConnectionRegistry(admission, descriptors, new SplittableRandom(1));
   private final PendingPolicy policy = new PendingPolicy();
   private final LingeringConnections lingering = new LingeringConnections(loop.clock);
-  private final RequestDispatcher dispatcher = dispatcher();
+  private final RequestDispatcher dispatcher = createDispatcher(loop, descriptors, policy);
   private EmbeddedChannel channel;
   private FrontendConnection connection;
 
   /** Leaves every request pending until the test has it answered. */
-  private static final class PendingPolicy implements RoutingPolicy {
+  static final class PendingPolicy implements RoutingPolicy {
     private PolicyActions actions;
 
     RoutingPolicy attach(PolicyActions offered) {
@@ -94,7 +94,9 @@
     public void timerFired(long now) {}
   }
 
-  private RequestDispatcher dispatcher() {
+  /** A dispatcher that knows one host of group 2 and never connects to it. */
+  static RequestDispatcher createDispatcher(
+      FakeEventLoop loop, DescriptorBudget descriptors, PendingPolicy policy) {
     ConnectionSettings settings =
         new ConnectionSettings(
             descriptors, new ConnectBackoff(new SplittableRandom(1), true), 1, 1, true, 1);
