--- a/router/src/main/java/rushwood/Main.java
+++ b/router/src/main/java/rushwood/Main.java
@@ -49,7 +49,7 @@
     } catch (InvalidConfigException e) {
       System.err.println("rushwood: " + e.getMessage());
       System.exit(EXIT_USAGE);
-    } catch (Exception e) {
+    } catch (Exception e) { // whatever else ends a start: the warm-up, the bind, no SIGHUP
       System.err.println("rushwood: cannot start: " + e.getMessage());
       System.exit(EXIT_CANNOT_START);
     }
--- a/router/src/main/java/rushwood/discovery/DiscoveryClient.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryClient.java
@@ -75,7 +75,7 @@
             new RequestsAndTimer());
   }
 
-  /** Polls the agent at once, then keeps the list current. */
+  /** Polls the agent at once, then keeps the list current until {@link #close}. */
   public void start() {
     refreshPolicy.start(clock.now());
   }
--- a/router/src/main/java/rushwood/discovery/ListDecision.java
+++ b/router/src/main/java/rushwood/discovery/ListDecision.java
@@ -19,9 +19,9 @@
   /** Nothing to apply: it has the version and the checksum of the list in force. */
   UNCHANGED,
   /**
-   * Applied. A complete list replaces the list in force, any other updates it. An entry that cannot
-   * be read leaves its endpoint as it was, but for the state if that can be read; the list is then
-   * polled again within a poll interval.
+   * Applied. A complete list replaces the list in force, any other updates it, and so does one
+   * without an array of entries. An entry that cannot be read leaves its endpoint as it was, but
+   * for the state if that can be read; the list is then polled again within a poll interval.
    */
   APPLIED
 }
--- a/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
+++ b/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
@@ -220,19 +220,20 @@
   /** The agent's load stays bounded, and 100 routers that start together do not stay in step. */
   @Test
   void pollRateIsBoundedAndJittered() {
-    for (Map.Entry<Long, Integer> each :
+    for (Map.Entry<Long, Integer> maxPolls :
         Map.of(250L, 60 * 11, 2000L, 60 * 2, 10_000L, 40).entrySet()) {
-      SimulatedAgent healthy = new SimulatedAgent(each.getKey(), 40, 1).start();
+      long drainGrace = maxPolls.getKey();
+      SimulatedAgent healthy = new SimulatedAgent(drainGrace, 40, 1).start();
       healthy.runFor(60_000);
       assertTrue(
-          healthy.pollTimes.size() <= each.getValue(),
-          healthy.pollTimes.size() + " polls with a grace of " + each.getKey());
+          healthy.pollTimes.size() <= maxPolls.getValue(),
+          healthy.pollTimes.size() + " polls with a grace of " + drainGrace);
       assertEquals(healthy.pollTimes.size() + 1, healthy.opened, "one watch");
-      SimulatedAgent failing = new SimulatedAgent(each.getKey(), 40, 1).start();
+      SimulatedAgent failing = new SimulatedAgent(drainGrace, 40, 1).start();
       failing.behavior = SimulatedAgent.Behavior.REFUSES;
       failing.runFor(60_000);
       assertTrue(
-          failing.pollTimes.size() <= 60_000 / (Math.min(4000, each.getKey()) / 8) + 1,
+          failing.pollTimes.size() <= 60_000 / (Math.min(4000, drainGrace) / 8) + 1,
           failing.pollTimes.size() + " failing polls");
     }
     Map<Long, Integer> together = new TreeMap<>();
