--- a/router/src/main/java/rushwood/server/MillisecondWaitStrategy.java
+++ b/router/src/main/java/rushwood/server/MillisecondWaitStrategy.java
@@ -11,8 +11,8 @@
  *
  * <p>Netty's selector waits for a whole number of milliseconds, rounded to the nearest. If that is
  * too short it polls the sockets without a wait until the timer is due, for up to half a
- * millisecond. That costs CPU time: a router has about a hundred timers a second and only part of a
- * core. The price of waiting longer is that a timer fires up to a millisecond late.
+ * millisecond at each timer. A router has part of a core only and can better afford timers that
+ * fire up to a millisecond late.
  */
 final class MillisecondWaitStrategy implements IoHandler {
   /** What Netty adds to a delay before it cuts off the fraction of a millisecond. */
