--- a/router/src/main/java/rushwood/dispatch/Counters.java
+++ b/router/src/main/java/rushwood/dispatch/Counters.java
@@ -51,7 +51,8 @@
   }
 
   /**
-   * Runs a task whose failure must not end anything else: an exception is counted and reported.
+   * Runs a task whose failure must not end anything else: a RuntimeException or an OutOfMemoryError
+   * is counted and reported; what else it throws is thrown on.
    *
    * @return whether the task returned without an exception
    */
@@ -65,6 +66,9 @@
       task.accept(argument);
       return true;
     } catch (RuntimeException | OutOfMemoryError e) {
+      // Any fault of the program in the task, and a buffer that cannot be allocated, for which
+      // Netty
+      // throws an OutOfMemoryError of its own: other requests go on.
       increment(Counter.EXCEPTIONS_CAUGHT);
       exceptionListener.accept(e);
       return false;
--- a/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
+++ b/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
@@ -8,8 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.extension.AfterEachCallback;
+import org.junit.jupiter.api.extension.BeforeEachCallback;
+import org.junit.jupiter.api.extension.ExtensionContext;
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
 import rushwood.api.Endpoint;
@@ -31,7 +32,7 @@
  * one ready host, {@link #HOST}. The policy starts an attempt there for each request; what it is
  * told, and what the client is sent, is recorded as lines of text.
  */
-abstract class DispatcherFixture {
+final class DispatcherFixture implements BeforeEachCallback, AfterEachCallback {
   static final HostId HOST = new HostId("a");
   static final RequestId REQUEST = new RequestId("x");
 
@@ -204,8 +205,8 @@
     }
   }
 
-  @BeforeEach
-  void start() {
+  @Override
+  public void beforeEach(ExtensionContext test) {
     start(true);
   }
 
@@ -240,8 +241,9 @@
     timers.schedule(clock.now() + EventLoopClock.MAX_TURN_INTERVAL_NANOS, this::scheduleTurns);
   }
 
-  @AfterEach
-  void checkBuffersAndInvariants() {
+  /** Checks that buffers were released and invariants held. */
+  @Override
+  public void afterEach(ExtensionContext test) {
     TestMessages.assertAllReleased();
     assertEquals(0, counters.get(Counter.INVARIANTS_VIOLATED));
   }
--- a/router/src/test/java/rushwood/dispatch/RequestDeadlineTest.java
+++ b/router/src/test/java/rushwood/dispatch/RequestDeadlineTest.java
@@ -4,14 +4,17 @@
 import static rushwood.dispatch.FakeEventLoop.NANOS_PER_MILLI;
 
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.RegisterExtension;
 
 /** From when a request's deadline counts, and what bounds it. */
-class RequestDeadlineTest extends DispatcherFixture {
+class RequestDeadlineTest {
+  @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
+
   /** What arrives during a pause is left unread until its end, so the pause counts as waiting. */
   @Test
   void deadlineCountsFromTheStartOfPause() {
-    loop.advanceTo(1000);
-    clock.now();
+    fixture.loop.advanceTo(1000);
+    fixture.clock.now();
     assertEquals(1430 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1030), "idleness is no pause");
     assertEquals(1430 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1330));
     assertEquals(
@@ -23,15 +26,15 @@
 
   @Test
   void deadlineIsBoundedByShutdown() {
-    dispatcher.shuttingDown(300 * NANOS_PER_MILLI);
+    fixture.dispatcher.shuttingDown(300 * NANOS_PER_MILLI);
     assertEquals(300 * NANOS_PER_MILLI, deadlineOfRequestReadAt(100));
   }
 
   /** The deadline of a request that is read in a new turn at that time. */
   private long deadlineOfRequestReadAt(long millis) {
-    loop.endTurn();
-    loop.setTimeNanos(millis * NANOS_PER_MILLI);
-    serveRequest();
-    return requestDeadline;
+    fixture.loop.endTurn();
+    fixture.loop.setTimeNanos(millis * NANOS_PER_MILLI);
+    fixture.serveRequest();
+    return fixture.requestDeadline;
   }
 }
