--- a/router/src/main/java/rushwood/dispatch/BackendResponse.java
+++ b/router/src/main/java/rushwood/dispatch/BackendResponse.java
@@ -14,7 +14,8 @@
  * @param outcome the outcome
  * @param row the messages to pass on to the client, if a row was read for one
  * @param role the role that the host claims
- * @param position the position that the host gives, negative if it gives none
+ * @param position the position that the host gives, Unix time in nanoseconds; negative if it gives
+ *     none
  * @param report the load report that came with the response
  */
 public record BackendResponse(
--- a/router/src/main/java/rushwood/dispatch/ClientResponder.java
+++ b/router/src/main/java/rushwood/dispatch/ClientResponder.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Sends a request's one final response to its client. */
+/** Sends a request's one final response to its client. Called on the event loop, once a request. */
 public interface ClientResponder {
   /** Sends the messages of a row as the host wrote them, and takes their buffer over. */
   void sendResult(ByteBuf row);
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -113,7 +113,8 @@
   }
 
   /**
-   * Takes a request, whose id must not be in use.
+   * Takes a request, whose id must not be in use ({@link #isRequestIdInUse}): a second request of
+   * an id would take the place of the first one.
    *
    * @param responder is called once with the final response, unless the client disconnects before
    */
@@ -140,7 +141,10 @@
     }
   }
 
-  /** The router stops at that time: every request, new or in flight, has to be answered before. */
+  /**
+   * The router stops at that time, Unix time in nanoseconds: every request, new or in flight, has
+   * to be answered before.
+   */
   public void shuttingDown(long deadline) {
     shutdownDeadline = deadline;
     events.deliver(policy -> policy.shuttingDown(clock.now(), deadline));
--- a/router/src/main/java/rushwood/dispatch/Statement.java
+++ b/router/src/main/java/rushwood/dispatch/Statement.java
@@ -6,7 +6,7 @@
 /** A request as a client wrote it. */
 public interface Statement {
   /**
-   * The request that the routing policy is told of.
+   * The request that the routing policy is told of. Times are Unix times in nanoseconds.
    *
    * @param now the current time
    * @param earliestArrival when the statement may have arrived; its deadline counts from then
