--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -97,8 +97,11 @@
    * attempt that may have run.
    */
   static long retryDeadline(PendingRequest pending) {
+    if (!pending.hasIdempotencyKey()) {
+      return NO_DEADLINE;
+    }
     Attempt first = pending.firstPossiblyExecuted();
-    if (!pending.hasIdempotencyKey() || first == null) {
+    if (first == null) {
       return NO_DEADLINE;
     }
     long windowNanos = pending.requestClass.idempotencyWindowNanos();
