--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -3,9 +3,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds attempts whose answer will not come: those that have waited long while many later attempts
- * at the same host were answered. They hold no slot, do not count as slow, and are retried. At a
- * slow host few overtake others. A long request among short ones may seem lost.
+ * Decides which attempts will not be answered any more. An attempt is presumed lost once it is
+ * late, that is, has waited for several expected service times, and has been overtaken by several
+ * answers to later attempts at the same host:
+ *
+ * <ul>
+ *   <li>by so many for each attempt in flight there that the loss is certain;
+ *   <li>while many losses were certain lately, by a few, which make a loss probable; this does not
+ *       hold for the control sample, which measures the ratio of certain losses.
+ * </ul>
+ *
+ * <p>Such an attempt holds no slot and does not count as slow. It is cancelled, so that its request
+ * is retried, if a retry can still be in time and is safe. At a host that is merely slow few
+ * answers overtake others; a long request among short ones may seem lost.
  */
 final class LostAnswerDetector {
   /** An attempt is late after that many expected service times: more than a short pause. */
@@ -52,14 +62,17 @@
     check(answered.host, now);
   }
 
-  /** Marks the attempts at that host that are lost, and cancels those that are better retried. */
+  /**
+   * Marks the attempts at that host that are lost, and cancels those that are better retried;
+   * called once a check interval, after each answer of the host and when it is ejected.
+   */
   void check(HostState host, long now) {
-    int certainLoss = CERTAIN_LOSS_MULTIPLE * host.inFlight.size();
-    int probableLoss = lossRatio > HIGH_LOSS_RATIO ? PROBABLE_LOSS_COUNT : certainLoss;
+    int certainLossCount = CERTAIN_LOSS_MULTIPLE * host.inFlight.size();
+    int lossCount = lossRatio > HIGH_LOSS_RATIO ? PROBABLE_LOSS_COUNT : certainLossCount;
     for (Attempt attempt : host.inFlight) {
-      int threshold = attempt.isControl ? certainLoss : probableLoss;
+      int threshold = attempt.isControl ? certainLossCount : lossCount;
       if (isLate(attempt, now) && !attempt.isPresumedLost() && attempt.overtakenBy() >= threshold) {
-        boolean isCertain = attempt.overtakenBy() >= certainLoss;
+        boolean isCertain = attempt.overtakenBy() >= certainLossCount;
         lossRatio += isCertain ? (1 - lossRatio) * LOSS_RATIO_SMOOTHING : 0;
         host.inFlight.presumeLost(attempt);
       }
--- a/router/src/main/java/rushwood/policy/RequestDecider.java
+++ b/router/src/main/java/rushwood/policy/RequestDecider.java
@@ -20,8 +20,9 @@
  * </ol>
  *
  * <p>A request that ends is rejected if trying again is harmless, that is, if it is idempotent or
- * provably never ran; otherwise it fails. {@link RetryPolicy} has cases 2 to 6, {@link
- * WriteSelector} and {@link ReplicaSelector} choose the host.
+ * provably never ran; otherwise it fails. At its answer deadline a request ends even while an
+ * attempt is in flight, which then counts as one that may have run. {@link RetryPolicy} has cases 2
+ * to 6, {@link WriteSelector} and {@link ReplicaSelector} choose the host.
  */
 final class RequestDecider {
   private final DeadlinePolicy deadlines;
