--- a/router/src/main/java/rushwood/policy/FreshnessPolicy.java
+++ b/router/src/main/java/rushwood/policy/FreshnessPolicy.java
@@ -55,7 +55,7 @@
   void updateRequiredPosition(PendingRequest pending, long now) {
     pending.requirePosition(
         switch (pending.requestClass.consistency()) {
-          case EVENTUAL -> HostState.NEVER;
+          case EVENTUAL -> PendingRequest.ANY_POSITION;
           case STRONG -> pending.arrivedAt;
           case BOUNDED_STALENESS -> now - pending.requestClass.maxStalenessNanos();
           case READ_YOUR_WRITES -> lastWrite(pending);
@@ -68,7 +68,7 @@
       return sessionWrites.lastCommit(pending.request.session());
     }
     if (!pending.request.hasLastWrite()) {
-      return HostState.NEVER;
+      return PendingRequest.ANY_POSITION;
     }
     return pending.arrivedAt - pending.request.sinceLastWriteNanos() + ROUNDING_NANOS;
   }
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -14,6 +14,9 @@
  * flight. Times are clock times in nanoseconds.
  */
 final class PendingRequest {
+  /** Required of a replica by a read that data of any age may answer. */
+  static final long ANY_POSITION = HostState.NEVER;
+
   final Request request;
   final RequestClass requestClass;
   final GroupState group;
@@ -59,7 +62,7 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
   }
 
-  /** The position that a replica has to have applied to answer; {@link HostState#NEVER} for any. */
+  /** The position that a replica has to have applied to answer, or {@link #ANY_POSITION}. */
   long requiredPosition() {
     return requiredPosition;
   }
--- a/router/src/main/java/rushwood/policy/SessionWrites.java
+++ b/router/src/main/java/rushwood/policy/SessionWrites.java
@@ -12,7 +12,7 @@
 final class SessionWrites {
   private final Map<SessionId, Long> commits = new LinkedHashMap<>();
   private final int maxSessions;
-  private long latestForgottenCommit = HostState.NEVER;
+  private long latestForgottenCommit = PendingRequest.ANY_POSITION;
 
   SessionWrites(int maxSessions) {
     this.maxSessions = maxSessions;
@@ -27,7 +27,10 @@
     }
   }
 
-  /** The position that a read must see, of that session or of none. */
+  /**
+   * The position that a read of that session, or of none, must see; {@link
+   * PendingRequest#ANY_POSITION} if no commit is known.
+   */
   long lastCommit(@Nullable SessionId session) {
     return commits.getOrDefault(session, latestForgottenCommit);
   }
--- a/router/src/test/java/rushwood/policy/SessionWritesTest.java
+++ b/router/src/test/java/rushwood/policy/SessionWritesTest.java
@@ -13,7 +13,7 @@
     writes.recordCommit(new SessionId("a"), 5);
     writes.recordCommit(new SessionId("a"), 7);
     assertEquals(7, writes.lastCommit(new SessionId("a")));
-    assertEquals(HostState.NEVER, writes.lastCommit(new SessionId("b")));
+    assertEquals(PendingRequest.ANY_POSITION, writes.lastCommit(new SessionId("b")));
   }
 
   @Test
