--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -69,8 +69,8 @@
     if (role == HostRole.REPLICA) {
       group.clearPrimary(host);
     } else if (!group.isPrimary(host) && isLatest(group, evidenceAt)) {
-      String change = "primary of group " + host.endpoint().group() + " is now host " + host.id;
-      actions.log(LogLevel.INFO, change);
+      actions.log(
+          LogLevel.INFO, "primary of group " + host.endpoint().group() + " is now host " + host.id);
       group.setPrimary(host);
     }
   }
--- a/router/src/main/java/rushwood/policy/QueuePolicy.java
+++ b/router/src/main/java/rushwood/policy/QueuePolicy.java
@@ -23,7 +23,7 @@
    */
   private static final double SELECTIVE_WAIT_SHARE = 0.25;
 
-  /** Within that many expected service times 19 of 20 answers come. */
+  /** Within that many expected service times nearly all answers come. */
   private static final double IN_TIME_MULTIPLE = 3;
 
   /** The priority value of late requests, less their deadline: behind all that are in time. */
