--- a/router/src/main/java/rushwood/protocol/ResponseAssembler.java
+++ b/router/src/main/java/rushwood/protocol/ResponseAssembler.java
@@ -3,7 +3,6 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.CompositeByteBuf;
-import java.nio.charset.StandardCharsets;
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
@@ -14,23 +13,19 @@
 
 /**
  * Collects a host's response to one statement: a row or an error, and what the host reports of
- * itself. Checks that the row is whole and consistent to the byte, as clients have to be able to
- * read it.
+ * itself.
  */
 final class ResponseAssembler {
   private static final String ROLE_PARAMETER = "part";
   private static final String POSITION_PARAMETER = "caught_up_to";
   private static final String LOAD_REPORT_PARAMETER = "gauges";
 
-  private static final char NO_ROW_PART = 0;
   private static final int ROW_PARTS = 3;
-  private static final int MIN_ROW_PART_BYTES = 6; // a column count and one name or value length
-  private static final int COLUMN_DESCRIPTION_BYTES = 18; // behind the name of a column
 
   private final ByteBufAllocator allocator;
+  private final RowChecker rowChecker = new RowChecker();
   private boolean isHealthCheck;
-  private @Nullable CompositeByteBuf row; // owned until it is taken
-  private char lastRowPart;
+  private @Nullable CompositeByteBuf row; // owned until it is taken; none before its first part
   private @Nullable String healthCheckValue; // the value of a health check's row
   private @Nullable AttemptOutcome outcome; // once the row or an error is complete
   private HostRole role = HostRole.UNKNOWN;
@@ -50,7 +45,7 @@
   void begin(boolean isHealthCheck) {
     release();
     this.isHealthCheck = isHealthCheck;
-    lastRowPart = NO_ROW_PART;
+    rowChecker.begin();
     outcome = null;
     role = HostRole.UNKNOWN;
     position = AttemptResult.NO_POSITION;
@@ -64,37 +59,28 @@
   }
 
   /**
-   * Adds a part of the row, which is exactly one RowDescription, one DataRow of one column and one
-   * CommandComplete.
+   * Adds a part of the row.
    *
    * @param message the whole message, its reader index at the body; retained if it is passed on
+   * @throws ProtocolException that is fatal, if {@link RowChecker} finds a fault or the response
+   *     was complete before
    */
   void addRowPart(char type, ByteBuf message) throws ProtocolException {
-    if (hasOutcome() || !isNextRowPart(type)) {
-      throw ProtocolException.protocolViolation("a part of a row out of order");
+    if (hasOutcome()) {
+      throw RowChecker.outOfOrder();
     }
     int bodyStart = message.readerIndex();
-    checkLengths(type, message);
-    lastRowPart = type;
+    rowChecker.checkPart(type, message);
     if (!isHealthCheck) {
       appendToRow(message);
     } else if (type == BackendMessageType.DATA_ROW) {
-      healthCheckValue = columnValue(message, bodyStart);
+      healthCheckValue = RowChecker.columnValue(message, bodyStart);
     }
-    if (type == BackendMessageType.COMMAND_COMPLETE) {
+    if (rowChecker.isComplete()) {
       outcome = AttemptOutcome.SUCCESS;
     }
   }
 
-  private boolean isNextRowPart(char type) {
-    return switch (type) {
-      case BackendMessageType.ROW_DESCRIPTION -> lastRowPart == NO_ROW_PART;
-      case BackendMessageType.DATA_ROW -> lastRowPart == BackendMessageType.ROW_DESCRIPTION;
-      case BackendMessageType.COMMAND_COMPLETE -> lastRowPart == BackendMessageType.DATA_ROW;
-      default -> false;
-    };
-  }
-
   private void appendToRow(ByteBuf message) {
     CompositeByteBuf parts = row;
     if (parts == null) {
@@ -105,30 +91,6 @@
     parts.addComponent(true, message.retainedSlice());
   }
 
-  private static String columnValue(ByteBuf dataRow, int bodyStart) {
-    int start = bodyStart + MIN_ROW_PART_BYTES;
-    return dataRow.toString(start, dataRow.writerIndex() - start, StandardCharsets.UTF_8);
-  }
-
-  private static void checkLengths(char type, ByteBuf message) throws ProtocolException {
-    if (type != BackendMessageType.COMMAND_COMPLETE
-        && (message.readableBytes() < MIN_ROW_PART_BYTES || message.readShort() != 1)) {
-      throw ProtocolException.protocolViolation("a row that has not one column");
-    }
-    if (type != BackendMessageType.DATA_ROW) {
-      CString.read(message);
-    }
-    int expectedBytes =
-        switch (type) {
-          case BackendMessageType.ROW_DESCRIPTION -> COLUMN_DESCRIPTION_BYTES;
-          case BackendMessageType.DATA_ROW -> message.readInt();
-          default -> 0;
-        };
-    if (message.readableBytes() != expectedBytes) {
-      throw ProtocolException.protocolViolation("a part of a row whose lengths do not fit");
-    }
-  }
-
   /** Drops the row, if a part of it was read: the statement ended with this error. */
   void addError(String sqlState) {
     release();
