--- a/router/src/main/java/rushwood/config/RouterConfigFile.java
+++ b/router/src/main/java/rushwood/config/RouterConfigFile.java
@@ -11,10 +11,9 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Optional;
-import rushwood.discovery.EndpointEntryDecoder;
+import rushwood.discovery.EndpointAddressParser;
 import rushwood.discovery.EndpointList;
 import rushwood.discovery.EndpointListParser;
-import rushwood.discovery.InvalidFieldException;
 
 /** The configuration file of a router, with the environment variables that precede its fields. */
 final class RouterConfigFile {
@@ -95,11 +94,8 @@
   }
 
   private InetSocketAddress address(String field, String variable) throws InvalidConfigException {
-    try {
-      return EndpointEntryDecoder.parseAddress(text(field, variable));
-    } catch (InvalidFieldException e) {
-      throw new InvalidConfigException(field, "is no address");
-    }
+    return EndpointAddressParser.parse(text(field, variable))
+        .orElseThrow(() -> new InvalidConfigException(field, "is no address"));
   }
 
   private long seed() throws InvalidConfigException {
--- a/router/src/main/java/rushwood/discovery/EndpointEntryDecoder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointEntryDecoder.java
@@ -1,10 +1,7 @@
 package rushwood.discovery;
 
 import com.google.gson.JsonObject;
-import io.netty.util.NetUtil;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
 import java.util.Optional;
 import rushwood.api.Endpoint;
 import rushwood.api.GroupId;
@@ -14,7 +11,7 @@
 import rushwood.dispatch.PartialEndpoint;
 
 /** Decodes one entry of the endpoint list. */
-public final class EndpointEntryDecoder {
+final class EndpointEntryDecoder {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final double DEFAULT_WEIGHT = 1;
   private static final String UNKNOWN_ZONE = "";
@@ -42,8 +39,7 @@
             decodeStartTime(entry),
             primary,
             state);
-    String address = JsonFields.requiredText(entry, DiscoveryProtocol.ADDRESS);
-    return new EndpointAddress(endpoint, parseAddress(address));
+    return new EndpointAddress(endpoint, decodeAddress(entry));
   }
 
   /**
@@ -64,25 +60,10 @@
     }
   }
 
-  /**
-   * Parses an IP address and port, as in {@code 10.1.0.18:6432}. Host names are rejected: nothing
-   * is looked up.
-   *
-   * @throws InvalidFieldException if {@code text} is anything else
-   */
-  public static InetSocketAddress parseAddress(String text) {
-    int colon = text.lastIndexOf(':');
-    try {
-      String host = text.substring(0, Math.max(0, colon));
-      byte[] ip = NetUtil.createByteArrayFromIpAddressString(host);
-      if (ip != null) {
-        int port = Integer.parseInt(text.substring(colon + 1));
-        return new InetSocketAddress(InetAddress.getByAddress(ip), port);
-      }
-    } catch (IllegalArgumentException | UnknownHostException e) {
-      // reported below, like an address that is no IP address
-    }
-    throw InvalidFieldException.missingOrUnreadable(DiscoveryProtocol.ADDRESS);
+  private static InetSocketAddress decodeAddress(JsonObject entry) {
+    String address = JsonFields.requiredText(entry, DiscoveryProtocol.ADDRESS);
+    return EndpointAddressParser.parse(address)
+        .orElseThrow(() -> InvalidFieldException.missingOrUnreadable(DiscoveryProtocol.ADDRESS));
   }
 
   private static HostId decodeId(JsonObject entry) {
--- a/router/src/main/java/rushwood/discovery/InvalidFieldException.java
+++ b/router/src/main/java/rushwood/discovery/InvalidFieldException.java
@@ -1,7 +1,10 @@
 package rushwood.discovery;
 
-/** A field of the endpoint list that is missing or has a value outside its bounds. */
-public final class InvalidFieldException extends IllegalArgumentException {
+/**
+ * A field of the endpoint list that is missing or has a value outside its bounds. The message names
+ * the field as it is on the wire, and the reason.
+ */
+final class InvalidFieldException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
   private final String field;
   private final String reason;
@@ -17,16 +20,6 @@
     return new InvalidFieldException(field, "is missing or cannot be read");
   }
 
-  /** The field's name on the wire. */
-  public String field() {
-    return field;
-  }
-
-  /** What is wrong with the field, as the rest of a sentence that begins with it. */
-  public String reason() {
-    return reason;
-  }
-
   /** The field, a space and the reason. */
   @Override
   public String getMessage() {
