--- a/router/src/main/java/rushwood/membership/Member.java
+++ b/router/src/main/java/rushwood/membership/Member.java
@@ -34,6 +34,11 @@
     return stateSince;
   }
 
+  /** An update by {@code origin} that says another state of this member, at its incarnation. */
+  MembershipUpdate updateTo(MemberState newState, MemberId origin) {
+    return new MembershipUpdate(id, newState, incarnation, origin);
+  }
+
   /** Members that said independently that this one is suspect, beyond the first to say so. */
   int confirmations() {
     return suspecters.size() - 1;
--- a/router/src/main/java/rushwood/membership/MemberTable.java
+++ b/router/src/main/java/rushwood/membership/MemberTable.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
@@ -31,9 +32,13 @@
     lastChangeAt = now;
   }
 
-  /** The member, or null for one outside the peer list. */
-  Member get(MemberId id) {
-    return members.get(id);
+  /** The member; empty for one outside the peer list. */
+  Optional<Member> find(MemberId id) {
+    return Optional.ofNullable(members.get(id));
+  }
+
+  boolean contains(MemberId id) {
+    return members.containsKey(id);
   }
 
   /** Members in any state, this router not among them. */
--- a/router/src/main/java/rushwood/membership/Membership.java
+++ b/router/src/main/java/rushwood/membership/Membership.java
@@ -53,8 +53,6 @@
     prober.start(now);
   }
 
-  // ---- events; each returns the messages to be sent
-
   /** Runs what is due by {@code now}. */
   public List<OutgoingMessage> tick(long now) {
     timers.runDue(now);
@@ -71,7 +69,7 @@
    * the updates of a datagram; messages that were built otherwise are bounded here.
    */
   public List<OutgoingMessage> received(long now, MemberId from, PeerMessage message) {
-    if (members.get(from) == null || message.updates().size() > DatagramCodec.MAX_UPDATES) {
+    if (!members.contains(from) || message.updates().size() > DatagramCodec.MAX_UPDATES) {
       counters.countUnknownSender();
       return outbox.drain();
     }
@@ -107,11 +105,9 @@
     return outbox.drain();
   }
 
-  // ---- the view
-
   /** Empty for a member outside the peer list, and for this router. */
   public Optional<MemberState> stateOf(MemberId id) {
-    return Optional.ofNullable(members.get(id)).map(Member::state);
+    return members.find(id).map(Member::state);
   }
 
   /** The highest incarnation heard of; empty for a member outside the peer list. */
@@ -119,8 +115,7 @@
     if (id.equals(self.id())) {
       return OptionalLong.of(self.incarnation());
     }
-    Member member = members.get(id);
-    return member == null ? OptionalLong.empty() : OptionalLong.of(member.incarnation());
+    return members.find(id).stream().mapToLong(Member::incarnation).findFirst();
   }
 
   /** Members that are alive or suspect, and this router. */
@@ -153,19 +148,15 @@
     return counters;
   }
 
-  // ---- updates
-
   private final class ProbeEvents implements Prober.Listener {
     @Override
     public void probeMissed(long now, MemberId target) {
       counters.countMissedProbe();
       localHealth.degrade();
-      Member member = members.get(target);
-      if (member != null && member.state() == MemberState.ALIVE) {
-        applyUpdate(
-            now,
-            new MembershipUpdate(target, MemberState.SUSPECT, member.incarnation(), self.id()));
-      }
+      members
+          .find(target)
+          .filter(member -> member.state() == MemberState.ALIVE)
+          .ifPresent(member -> applyUpdate(now, member.updateTo(MemberState.SUSPECT, self.id())));
     }
 
     @Override
@@ -179,10 +170,11 @@
       refuteIfWrong(update);
       return;
     }
-    Member member = members.get(update.member());
-    if (member == null) {
-      return; // the sender has another peer list
-    }
+    // Of a member outside the peer list the sender has another list: nothing is held of it.
+    members.find(update.member()).ifPresent(member -> applyUpdate(now, member, update));
+  }
+
+  private void applyUpdate(long now, Member member, MembershipUpdate update) {
     if (update.state() == MemberState.SUSPECT && member.isSuspectAt(update.incarnation())) {
       suspicionTimers.confirm(member, update.origin());
       return;
--- a/router/src/main/java/rushwood/membership/ProbeRelay.java
+++ b/router/src/main/java/rushwood/membership/ProbeRelay.java
@@ -33,7 +33,7 @@
   /** Pings the target of a ping request; an ack within a period is passed on to the requester. */
   void relay(long now, MemberId requester, PeerMessage request) {
     MemberId target = request.target();
-    if (members.get(target) == null || relayedProbes.size() >= MAX_RELAYED_PROBES) {
+    if (!members.contains(target) || relayedProbes.size() >= MAX_RELAYED_PROBES) {
       return;
     }
     int sequenceNumber = outbox.nextSequenceNumber();
--- a/router/src/main/java/rushwood/membership/ProbeTargets.java
+++ b/router/src/main/java/rushwood/membership/ProbeTargets.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 
 /** Chooses whom to probe, and who is asked to probe a member that did not answer. */
@@ -29,34 +30,33 @@
     this.random = random;
   }
 
-  /** The next member to probe, or null if there is none. */
-  MemberId next(long now) {
+  /** The next member to probe; empty if there is none. */
+  Optional<MemberId> next(long now) {
     if (++chosenCount % REVIVAL_PROBE_INTERVAL == 0) {
       List<MemberId> dead = members.recentlyDead(now, deadRetentionNanos);
       if (!dead.isEmpty()) {
         counters.countRevivalProbe();
-        return dead.get(random.nextInt(dead.size()));
+        return Optional.of(dead.get(random.nextInt(dead.size())));
       }
     }
     return nextInOrder();
   }
 
   /** Round-robin over a random order that is drawn anew each round. */
-  private MemberId nextInOrder() {
+  private Optional<MemberId> nextInOrder() {
     for (int tries = 0; tries <= probeOrder.size(); tries++) {
       if (nextIndex >= probeOrder.size()) {
         shuffle();
         if (probeOrder.isEmpty()) {
-          return null;
+          return Optional.empty();
         }
       }
       MemberId candidate = probeOrder.get(nextIndex++);
-      Member member = members.get(candidate);
-      if (member != null && member.state().isActive()) {
-        return candidate;
+      if (members.find(candidate).filter(member -> member.state().isActive()).isPresent()) {
+        return Optional.of(candidate);
       }
     }
-    return null;
+    return Optional.empty();
   }
 
   private void shuffle() {
--- a/router/src/main/java/rushwood/membership/Prober.java
+++ b/router/src/main/java/rushwood/membership/Prober.java
@@ -1,5 +1,8 @@
 package rushwood.membership;
 
+import java.util.Optional;
+import org.jspecify.annotations.Nullable;
+
 /**
  * SWIM's failure detector: pings one member a period and asks others to ping it if no ack comes in
  * time. A probe without an ack by the start of the next is missed.
@@ -19,7 +22,7 @@
   private final Outbox outbox;
   private final MembershipTimers timers;
   private final Listener listener;
-  private Probe currentProbe; // null before the first one and where there was nobody to probe
+  private @Nullable Probe currentProbe; // none before the first, and while there is nobody to probe
   private boolean stopped;
 
   private static final class Probe {
@@ -65,13 +68,13 @@
     if (currentProbe != null && !currentProbe.acked) {
       listener.probeMissed(now, currentProbe.target);
     }
-    MemberId target = targets.next(now);
+    Optional<MemberId> target = targets.next(now);
     currentProbe = null;
     long timeoutFactor = localHealth.timeoutFactor();
-    if (target != null) {
-      Probe probe = new Probe(target, outbox.nextSequenceNumber());
+    if (target.isPresent()) {
+      Probe probe = new Probe(target.get(), outbox.nextSequenceNumber());
       currentProbe = probe;
-      outbox.send(target, PeerMessage.Kind.PING, probe.sequenceNumber, target);
+      outbox.send(probe.target, PeerMessage.Kind.PING, probe.sequenceNumber, probe.target);
       timers.schedule(
           now + settings.ackTimeoutNanos() * timeoutFactor, () -> sendIndirectProbes(probe));
     }
--- a/router/src/main/java/rushwood/membership/UpdateDissemination.java
+++ b/router/src/main/java/rushwood/membership/UpdateDissemination.java
@@ -51,11 +51,10 @@
    */
   List<MembershipUpdate> updatesFor(MemberId recipient) {
     List<MembershipUpdate> updates = new ArrayList<>();
-    Member member = members.get(recipient);
-    if (member != null && member.state() == MemberState.DEAD) {
-      updates.add(
-          new MembershipUpdate(recipient, MemberState.DEAD, member.incarnation(), self.id()));
-    }
+    members
+        .find(recipient)
+        .filter(member -> member.state() == MemberState.DEAD)
+        .ifPresent(member -> updates.add(member.updateTo(MemberState.DEAD, self.id())));
     for (PendingUpdate pending : pendingUpdates) {
       if (updates.size() >= DatagramCodec.MAX_UPDATES) {
         break;
--- a/router/src/main/java/rushwood/membership/package-info.java
+++ b/router/src/main/java/rushwood/membership/package-info.java
@@ -12,4 +12,7 @@
  * is returned. No class is thread-safe; one thread owns a {@code Membership} and its parts. Options
  * and measurements: {@code docs/design-membership.md}.
  */
+@NullMarked
 package rushwood.membership;
+
+import org.jspecify.annotations.NullMarked;
