--- a/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
@@ -10,6 +10,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 import rushwood.testbed.model.TestbedRequestClass;
 import rushwood.testbed.standin.Loopback;
 import rushwood.testbed.standin.RouterProcess;
@@ -30,7 +32,7 @@
   private final SteadyLoad load;
   private final Map<String, Long> lastRequestAt = new HashMap<>();
   private final Map<String, Long> requestsSent = new HashMap<>();
-  private RouterProcess process;
+  private @Nullable RouterProcess process;
 
   /** Creates it with a running agent; its router and its clients are started apart. */
   ClusterMember(int number, EventLoop loop, Path jar, ObjectNode settings, Path folder)
@@ -60,9 +62,13 @@
     return load;
   }
 
-  /** Its router, as last started. */
+  /**
+   * Its router, as last started.
+   *
+   * @throws NullPointerException if it was never started
+   */
   public RouterProcess process() {
-    return process;
+    return Objects.requireNonNull(process, "the router has not been started");
   }
 
   /** Starts its router with that list as the one held from before; returns once it serves. */
--- a/testbed/src/main/java/rushwood/testbed/load/ExperimentHosts.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ExperimentHosts.java
@@ -3,6 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Objects;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
@@ -40,9 +41,13 @@
     }
   }
 
-  /** The host with that id, which is one of the experiment's. */
+  /**
+   * The host with that id.
+   *
+   * @throws NullPointerException if the experiment has no such host
+   */
   StandinHost get(String id) {
-    return hosts.get(id);
+    return Objects.requireNonNull(hosts.get(id), () -> "no host " + id);
   }
 
   /** Makes a host the primary of its group, and the group's others replicas. */
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -49,6 +49,7 @@
 @Fork(1)
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
+@SuppressWarnings("NullAway.Init") // JMH calls setUp before any benchmark
 public class OverloadBenchmark {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final HostId HOST = new HostId("a");
--- a/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -149,21 +150,25 @@
 
   private EndpointEntry entry(String id, String host, Endpoint.State state, long startedMillis) {
     return new EndpointEntry(
-        id, hosts.get(host).address(), GROUP, state, startedMillis, id.equals(PRIMARY));
+        id, host(host).address(), GROUP, state, startedMillis, id.equals(PRIMARY));
   }
 
   /** A host's process starts anew, cold, and all agents list that; on the loop. */
   public void restartHost(String host) {
-    hosts.get(host).model().restart(now());
+    host(host).model().restart(now());
     long startedMillis = System.currentTimeMillis();
     members.forEach(
         member ->
             member.discovery().publish(entry(host, host, Endpoint.State.READY, startedMillis)));
   }
 
+  private StandinHost host(String id) {
+    return Objects.requireNonNull(hosts.get(id), () -> "no host " + id);
+  }
+
   /** The model of a host; used on the loop. */
   public HostModel hostModel(String host) {
-    return hosts.get(host).model();
+    return host(host).model();
   }
 
   /** Kills the routers, closes all sockets and deletes the routers' files. */
--- a/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
@@ -1,15 +1,17 @@
 package rushwood.testbed.load;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.Objects;
+import org.jspecify.annotations.Nullable;
 
 /**
  * Something that happens during an experiment.
  *
  * @param seconds when, from the experiment's start
- * @param host the id of the host that it happens to; null if it happens to none
+ * @param host the id of the host that it happens to; none for an event without host
  */
 public record ScheduledEvent(
-    @JsonProperty("at") double seconds, @JsonProperty("what") Type type, String host) {
+    @JsonProperty("at") double seconds, @JsonProperty("what") Type type, @Nullable String host) {
 
   /** What may happen. */
   public enum Type {
@@ -65,15 +67,23 @@
     return Experiment.nanos(seconds);
   }
 
-  /** Has the handler carry it out. */
+  private String requireHost() {
+    return Objects.requireNonNull(host, () -> type + " names no host");
+  }
+
+  /**
+   * Has the handler carry it out.
+   *
+   * @throws NullPointerException if it happens to a host and names none
+   */
   public void applyTo(Handler handler) {
     switch (type) {
-      case CRASH -> handler.crash(host);
-      case RESTART -> handler.restart(host);
-      case PROMOTE -> handler.promote(host);
-      case DEMOTE -> handler.demote(host);
-      case HANG -> handler.setHung(host, true);
-      case RESUME -> handler.setHung(host, false);
+      case CRASH -> handler.crash(requireHost());
+      case RESTART -> handler.restart(requireHost());
+      case PROMOTE -> handler.promote(requireHost());
+      case DEMOTE -> handler.demote(requireHost());
+      case HANG -> handler.setHung(requireHost(), true);
+      case RESUME -> handler.setHung(requireHost(), false);
       case SILENCE_DISCOVERY -> handler.silenceDiscovery();
       case PUBLISH_ENDPOINTS -> handler.publishEndpoints();
       case TERMINATE_ROUTER -> handler.terminateRouter();
--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -5,6 +5,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import java.util.SplittableRandom;
+import org.jspecify.annotations.Nullable;
 import rushwood.testbed.standin.ErrorCodes;
 import rushwood.testbed.standin.Loopback;
 import rushwood.testbed.standin.MessageEncoder;
@@ -43,7 +44,7 @@
   private int triesMade;
   private int resends;
   private long retryAfter; // of the last try, 0 for none
-  private Channel channel;
+  private @Nullable Channel channel;
   private boolean connected; // the startup message was sent, and no close of the channel is known
   private boolean querySent;
   private boolean tryEnded;
@@ -81,7 +82,7 @@
     int thisTry = triesMade;
     tryDeadline = context.now() + spec.tryTimeoutNanos();
     context.scheduleAfter(spec.tryTimeoutNanos(), () -> onTimeout(thisTry));
-    if (connected) {
+    if (connected && channel != null) {
       sendQuery(channel);
     } else {
       connect();
--- a/testbed/src/main/java/rushwood/testbed/load/SteadyLoad.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SteadyLoad.java
@@ -10,6 +10,7 @@
 import java.util.Deque;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
+import org.jspecify.annotations.Nullable;
 import rushwood.testbed.model.TestbedRequestClass;
 import rushwood.testbed.standin.Loopback;
 import rushwood.testbed.standin.MessageEncoder;
@@ -31,8 +32,8 @@
   private final EventLoop loop;
   private final InetSocketAddress router;
   private final TestbedRequestClass requestClass;
-  private final Deque<Connection> idle = new ArrayDeque<>();
-  private ScheduledFuture<?> sendTask;
+  private final Deque<Channel> idle = new ArrayDeque<>();
+  private @Nullable ScheduledFuture<?> sendTask;
   private long sent;
 
   /** The id of each request begins with {@code idPrefix}. */
@@ -52,7 +53,9 @@
 
   /** Stops sending; connections stay open. */
   public void pause() {
-    sendTask.cancel(false);
+    if (sendTask != null) {
+      sendTask.cancel(false);
+    }
   }
 
   /** Requests that were sent. */
@@ -61,39 +64,27 @@
   }
 
   private void sendNext() {
-    Connection connection = idle.poll();
-    if (connection == null) {
-      connection = new Connection();
-      connection.connect();
+    Channel idleChannel = idle.poll();
+    if (idleChannel == null) {
+      Loopback.connect(loop, router, new ConnectionHandler());
+    } else {
+      sendQuery(idleChannel);
     }
-    connection.send();
   }
 
-  /** A connection that has one request at a time. */
-  private final class Connection extends SimpleChannelInboundHandler<ProtocolMessage> {
-    private Channel channel;
-    private boolean ready;
-
-    private void connect() {
-      channel = Loopback.connect(loop, router, this).channel();
-    }
-
-    /** Sends a request, or will as soon as the router is ready for the first one. */
-    private void send() {
-      if (ready) {
-        writeQuery();
-      }
-    }
+  private void sendQuery(Channel channel) {
+    ByteBuf out = channel.alloc().buffer(BUFFER_BYTES);
+    MessageEncoder.writeQuery(
+        out,
+        Statement.format(
+            requestClass, "k" + sent % KEYS, idPrefix + sent, ANSWER_TIMEOUT_MILLIS, GROUP));
+    sent++;
+    channel.writeAndFlush(out);
+  }
 
-    private void writeQuery() {
-      ByteBuf out = channel.alloc().buffer(BUFFER_BYTES);
-      MessageEncoder.writeQuery(
-          out,
-          Statement.format(
-              requestClass, "k" + sent % KEYS, idPrefix + sent, ANSWER_TIMEOUT_MILLIS, GROUP));
-      sent++;
-      channel.writeAndFlush(out);
-    }
+  /** A connection that has one request at a time, the first as soon as the router is ready. */
+  private final class ConnectionHandler extends SimpleChannelInboundHandler<ProtocolMessage> {
+    private boolean ready;
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
@@ -108,16 +99,16 @@
         return;
       }
       if (ready) {
-        idle.push(this);
+        idle.push(context.channel());
       } else {
         ready = true;
-        writeQuery();
+        sendQuery(context.channel());
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      idle.remove(this);
+      idle.remove(context.channel());
     }
 
     @Override
--- a/testbed/src/main/java/rushwood/testbed/load/package-info.java
+++ b/testbed/src/main/java/rushwood/testbed/load/package-info.java
@@ -4,4 +4,7 @@
  * rushwood.testbed.load.SocketExperiment} runs it on sockets. {@code testbed/README.md} lists the
  * experiments and the names in reports.
  */
+@NullMarked
 package rushwood.testbed.load;
+
+import org.jspecify.annotations.NullMarked;
--- a/testbed/src/main/java/rushwood/testbed/report/ReportWriter.java
+++ b/testbed/src/main/java/rushwood/testbed/report/ReportWriter.java
@@ -18,6 +18,7 @@
 import org.jfree.chart.JFreeChart;
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
+import org.jspecify.annotations.Nullable;
 import rushwood.testbed.load.ExperimentResult;
 import rushwood.testbed.load.ExperimentResult.TimeSeries;
 import rushwood.testbed.load.ReportNames;
@@ -102,7 +103,7 @@
   }
 
   /** A curve for a plot; empty for a result without that time series. */
-  private static XYSeries toXySeries(String label, TimeSeries series) {
+  private static XYSeries toXySeries(String label, @Nullable TimeSeries series) {
     XYSeries curve = new XYSeries(label);
     List<Double> values = series == null ? List.of() : series.values();
     for (int i = 0; i < values.size(); i++) {
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRequest.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRequest.java
@@ -3,13 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.jspecify.annotations.Nullable;
 import rushwood.api.Request;
 
 /** A request at a router, until its client has an answer and all its attempts have ended. */
 final class VirtualRequest {
   private final Request details;
   private final List<VirtualAttempt> attempts = new ArrayList<>();
-  private VirtualClient waitingClient;
+  private @Nullable VirtualClient waitingClient;
 
   VirtualRequest(Request details, VirtualClient client) {
     this.details = details;
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
@@ -4,6 +4,7 @@
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
@@ -122,7 +123,8 @@
   @Override
   public void send(RequestId id, HostId hostId, long timeoutNanos, long startWithinNanos) {
     VirtualHost host = context.store().host(hostId);
-    VirtualAttempt attempt = requests.get(id).addAttempt(this, host, events);
+    VirtualRequest request = Objects.requireNonNull(requests.get(id), "an unknown request is sent");
+    VirtualAttempt attempt = request.addAttempt(this, host, events);
     context.counts().attemptStarted();
     if (host.model().isUp()) {
       connectBackoff.attemptStarted(hostId);
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualStore.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualStore.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import rushwood.api.Endpoint;
 import rushwood.api.HostId;
 import rushwood.testbed.load.Experiment;
@@ -23,7 +24,7 @@
   }
 
   VirtualHost host(HostId id) {
-    return hosts.get(id);
+    return Objects.requireNonNull(hosts.get(id), () -> "no host " + id);
   }
 
   Collection<VirtualHost> hosts() {
@@ -37,7 +38,7 @@
 
   /** Makes a host the primary of its group, and the group's others replicas. */
   void promote(HostId id) {
-    VirtualHost promoted = hosts.get(id);
+    VirtualHost promoted = host(id);
     hosts.values().stream()
         .filter(host -> host.group() == promoted.group())
         .forEach(host -> host.model().setPrimary(host == promoted));
--- a/testbed/src/main/java/rushwood/testbed/standin/LoopbackListener.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/LoopbackListener.java
@@ -10,7 +10,9 @@
 import io.netty.channel.group.DefaultChannelGroup;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.net.InetSocketAddress;
+import java.util.Objects;
 import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
 
 /**
  * A listening socket on the loopback interface with its connections. It can be closed and opened
@@ -22,8 +24,8 @@
   private final EventLoop loop;
   private final Consumer<Channel> initializer;
   private final ChannelGroup connections;
-  private Channel listener;
-  private InetSocketAddress address;
+  private @Nullable Channel listener;
+  private @Nullable InetSocketAddress address;
 
   /** {@code initializer} sets up the pipeline of each accepted connection. */
   LoopbackListener(EventLoop loop, Consumer<Channel> initializer) {
@@ -34,9 +36,9 @@
 
   /** Opens it for the first time and waits until it listens; not on the loop. */
   InetSocketAddress listen() throws InterruptedException {
-    open().sync();
-    address = (InetSocketAddress) listener.localAddress();
-    return address;
+    InetSocketAddress bound = (InetSocketAddress) open().sync().channel().localAddress();
+    address = bound;
+    return bound;
   }
 
   /** Opens it, at the address that it had before if it had one. */
@@ -62,8 +64,9 @@
     return bound;
   }
 
+  /** Where it listens, or did before it was closed. */
   InetSocketAddress address() {
-    return address;
+    return Objects.requireNonNull(address, "it has not been opened");
   }
 
   /** Resets the open connections and goes on listening. */
@@ -73,7 +76,9 @@
 
   /** Stops listening and resets the open connections. */
   void close() {
-    listener.close();
+    if (listener != null) {
+      listener.close();
+    }
     connections.close();
   }
 }
