--- a/cli/src/main/java/rushwood/cli/CheckCommand.java
+++ b/cli/src/main/java/rushwood/cli/CheckCommand.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -56,7 +57,8 @@
       JsonNode document = MAPPER.readTree(Files.readString(FormerPaths.resolve(file)));
       return Experiment.violations(document, schemaStream);
     } catch (IOException e) {
-      return List.of("cannot be read: " + e.getMessage().lines().findFirst().orElse(""));
+      String message = Objects.requireNonNullElse(e.getMessage(), "");
+      return List.of("cannot be read: " + message.lines().findFirst().orElse(""));
     }
   }
 
--- a/cli/src/main/java/rushwood/cli/ReportOptions.java
+++ b/cli/src/main/java/rushwood/cli/ReportOptions.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 import picocli.CommandLine.Option;
 import rushwood.testbed.load.ExperimentResult;
 import rushwood.testbed.report.ReportWriter;
@@ -15,10 +16,10 @@
   private static final String STANDARD_OUTPUT = "-";
 
   @Option(names = "--json", description = "Where the results go as JSON; - for standard output.")
-  private String json;
+  private @Nullable String json;
 
   @Option(names = "--html", description = "Where a report with plots goes.")
-  private Path html;
+  private @Nullable Path html;
 
   /** Prints the figures, or the JSON if that goes to standard output, and writes the files. */
   void write(String experimentName, Map<String, ExperimentResult> results) throws IOException {
--- a/cli/src/main/java/rushwood/cli/Rushwood.java
+++ b/cli/src/main/java/rushwood/cli/Rushwood.java
@@ -29,7 +29,9 @@
   static final int EXIT_INVALID_INPUT = 2;
   private static final int EXIT_FAILED = 1;
 
-  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+  @SuppressWarnings("NullAway.Init") // set by picocli
+  @CommandLine.Spec
+  private CommandLine.Model.CommandSpec spec;
 
   /** Runs the command that the arguments name, and exits unless it goes on in the background. */
   public static void main(String[] args) {
--- a/cli/src/main/java/rushwood/cli/TestbedCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedCommand.java
@@ -16,7 +16,9 @@
     description = "Experiments against stand-ins on loopback.",
     subcommands = {TestbedRunCommand.class, TestbedVirtualCommand.class})
 final class TestbedCommand implements Runnable {
-  @Spec private CommandSpec spec;
+  @SuppressWarnings("NullAway.Init") // set by picocli
+  @Spec
+  private CommandSpec spec;
 
   @Override
   public void run() {
--- a/cli/src/main/java/rushwood/cli/TestbedRunCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedRunCommand.java
@@ -22,6 +22,7 @@
     description =
         "Plays an experiment on sockets, once for each build or settings file that is compared.")
 final class TestbedRunCommand implements Callable<Integer> {
+  @SuppressWarnings("NullAway.Init") // set by picocli
   @Parameters(index = "0", paramLabel = "EXPERIMENT", description = "The experiment's JSON file.")
   private Path experimentFile;
 
@@ -43,7 +44,7 @@
   @Option(names = "--flag", description = "A flag of the router's virtual machine.")
   private List<String> flags = List.of();
 
-  @Mixin private ReportOptions report;
+  @Mixin private final ReportOptions report = new ReportOptions();
 
   @Override
   public Integer call() throws Exception {
--- a/cli/src/main/java/rushwood/cli/TestbedVirtualCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedVirtualCommand.java
@@ -20,6 +20,7 @@
     mixinStandardHelpOptions = true,
     description = "Plays an experiment in virtual time, with overload control and without it.")
 final class TestbedVirtualCommand implements Callable<Integer> {
+  @SuppressWarnings("NullAway.Init") // set by picocli
   @Parameters(index = "0", paramLabel = "EXPERIMENT", description = "The experiment's JSON file.")
   private Path experimentFile;
 
@@ -34,7 +35,7 @@
       description = "How many times the file's clients there are, hosts' rates too.")
   private int clientFactor = 1;
 
-  @Mixin private ReportOptions report;
+  @Mixin private final ReportOptions report = new ReportOptions();
 
   @Override
   public Integer call() throws Exception {
