--- a/router/src/main/java/rushwood/policy/HostState.java
+++ b/router/src/main/java/rushwood/policy/HostState.java
@@ -18,7 +18,7 @@
   final InFlightAttempts inFlight = new InFlightAttempts();
 
   /** The decision to send a request here: one object, so that no request allocates its own. */
-  final Decision.Send send = new Decision.Send(this);
+  final Decision.Send sendHere = new Decision.Send(this);
 
   private Endpoint endpoint;
   private @Nullable GroupState group;
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -45,7 +45,7 @@
   /** The host for a read now, or why it waits. */
   Decision select(PendingRequest pending, long now) {
     HostState drawn = longReads.isLong(pending) ? null : selectOfTwo(pending, now);
-    return drawn != null ? drawn.send : selectOfAll(pending, now);
+    return drawn != null ? drawn.sendHere : selectOfAll(pending, now);
   }
 
   /** The better of two replicas drawn by weight, if both are (likely to be) fresh and free. */
@@ -103,7 +103,7 @@
       }
     }
     if (selected != null) {
-      return selected.send;
+      return selected.sendHere;
     }
     return best == Suitability.UNSUITABLE
         ? Decision.Wait.NO_SUITABLE_HOST
--- a/router/src/test/java/rushwood/policy/RequestDeciderTest.java
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -128,8 +128,8 @@
   void sendsAReadToAReplicaAndAWriteToThePrimary() {
     HostState primary = list("a", true);
     HostState replica = list("b", false);
-    assertSame(replica.send, decide(request(READ)));
-    assertSame(primary.send, decide(request(WRITE)));
+    assertSame(replica.sendHere, decide(request(READ)));
+    assertSame(primary.sendHere, decide(request(WRITE)));
   }
 
   @Test
@@ -141,7 +141,7 @@
   @Test
   void aWriteWaitsWhileAnotherOneLooksForThePrimary() {
     HostState host = list("a", false);
-    assertSame(host.send, decide(request(WRITE)));
+    assertSame(host.sendHere, decide(request(WRITE)));
     assertSame(Decision.Wait.PRIMARY_UNKNOWN, decide(request(WRITE)));
   }
 
