--- a/router/src/main/java/rushwood/api/OverloadSignals.java
+++ b/router/src/main/java/rushwood/api/OverloadSignals.java
@@ -21,9 +21,9 @@
   /**
    * An attempt was sent.
    *
-   * @param retry whether it follows an attempt of the same request that cost its host work
+   * @param isCostlyRetry whether it follows an attempt of the same request that cost its host work
    */
-  void attemptSent(long now, GroupId group, boolean retry);
+  void attemptSent(long now, GroupId group, boolean isCostlyRetry);
 
   /** Whether an unreachable host may be tried although no health check has found it up. */
   boolean canConnect(long now, HostId host);
@@ -42,7 +42,7 @@
       }
 
       @Override
-      public void attemptSent(long now, GroupId group, boolean retry) {}
+      public void attemptSent(long now, GroupId group, boolean isCostlyRetry) {}
 
       @Override
       public boolean canConnect(long now, HostId host) {
--- a/router/src/main/java/rushwood/api/PolicyActions.java
+++ b/router/src/main/java/rushwood/api/PolicyActions.java
@@ -23,7 +23,8 @@
   void cancel(RequestId request, int attemptNumber);
 
   /**
-   * Gives the final answer that the request did not run, and that trying again is harmless.
+   * Gives the final answer that trying again is harmless: the request ran nowhere, or is
+   * idempotent.
    *
    * @param retryAfterNanos how long the client is told to wait before, 0 for no such hint
    */
--- a/router/src/main/java/rushwood/api/RoutingPolicy.java
+++ b/router/src/main/java/rushwood/api/RoutingPolicy.java
@@ -43,8 +43,12 @@
   /** The client of a request disconnected or cancelled it: no answer is owed any more. */
   void clientDisconnected(long now, RequestId request);
 
-  /** The router ends at {@code deadline}: every pending request has to be answered before. */
-  void shuttingDown(long now, long deadline);
+  /**
+   * The router shuts down.
+   *
+   * @param lastAnswerTime every pending request has to be answered before that clock time
+   */
+  void shuttingDown(long now, long lastAnswerTime);
 
   /**
    * A health check that the policy asked for has ended.
--- a/router/src/main/java/rushwood/config/RouterConfig.java
+++ b/router/src/main/java/rushwood/config/RouterConfig.java
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Reads the file again while the router runs. What {@code NODE_DISCOVERY} said at the start does
-   * not take precedence over a newer file.
+   * Reads the file again while the router runs. {@code NODE_DISCOVERY} is ignored: from the first
+   * reload on the address of discovery is that of the file, even if the file has not changed.
    *
    * @throws InvalidConfigException for the first field that is missing or cannot be read
    */
--- a/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
+++ b/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
@@ -196,7 +196,7 @@
   private void scheduleWakeup() {
     OpenRequest poll = requests.poll();
     long at = poll != null ? deadline(poll) : schedule.nextPollAt();
-    if (!stopped && at != PollSchedule.NEVER) {
+    if (!stopped && at != PollSchedule.NOT_SCHEDULED) {
       transport.scheduleWakeup(at);
     }
   }
--- a/router/src/main/java/rushwood/discovery/PollSchedule.java
+++ b/router/src/main/java/rushwood/discovery/PollSchedule.java
@@ -22,7 +22,7 @@
  */
 final class PollSchedule {
   /** The time of a poll that is not scheduled; later than any other. */
-  static final long NEVER = Long.MAX_VALUE;
+  static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -43,8 +43,8 @@
   private final long pollIntervalNanos;
   private final long responseTimeoutNanos;
   private long maxPollDurationNanos;
-  private long regularPollAt = NEVER;
-  private long urgentPollAt = NEVER;
+  private long regularPollAt = NOT_SCHEDULED;
+  private long urgentPollAt = NOT_SCHEDULED;
   private long earliestPollAt = Long.MIN_VALUE; // no limit before the first poll
 
   /**
@@ -81,8 +81,8 @@
 
   /** A poll was opened; none is scheduled until it ends. */
   void pollStarted(long now) {
-    regularPollAt = NEVER;
-    urgentPollAt = NEVER;
+    regularPollAt = NOT_SCHEDULED;
+    urgentPollAt = NOT_SCHEDULED;
     earliestPollAt = now + responseTimeoutNanos / 2 + random.nextLong(responseTimeoutNanos / 2);
   }
 
@@ -109,10 +109,10 @@
     return Math.min(lastDataAt + responseTimeoutNanos, openedAt + maxPollDurationNanos);
   }
 
-  /** When the next poll is due; {@link #NEVER} if none is scheduled. */
+  /** When the next poll is due; {@link #NOT_SCHEDULED} if none is scheduled. */
   long nextPollAt() {
     long at = Math.min(regularPollAt, urgentPollAt);
-    return at == NEVER ? NEVER : Math.max(at, earliestPollAt);
+    return at == NOT_SCHEDULED ? NOT_SCHEDULED : Math.max(at, earliestPollAt);
   }
 
   /**
--- a/router/src/main/java/rushwood/dispatch/Counter.java
+++ b/router/src/main/java/rushwood/dispatch/Counter.java
@@ -26,7 +26,9 @@
   REQUESTS_RECEIVED,
   /** Requests that were answered with a row. */
   REQUESTS_SUCCEEDED,
-  /** Requests that were rejected: they did not run, and trying again is harmless. */
+  /**
+   * Requests that were rejected: they ran nowhere or may run twice, so trying again is harmless.
+   */
   REQUESTS_REJECTED,
   /** Requests that failed: they may or may not have run. */
   REQUESTS_FAILED,
@@ -84,18 +86,21 @@
   /** Responses from hosts that were followed by excess data; each ends its connection. */
   BACKEND_EXCESS_DATA,
 
-  /** Endpoint lists that were received whole. */
+  /** Complete endpoint lists that were applied. */
   ENDPOINT_LISTS_REPLACED,
-  /** Changes to the endpoint list that were received. */
+  /**
+   * Changes to the endpoint list that were applied, and lists that were ignored but for their
+   * draining and removed endpoints.
+   */
   ENDPOINT_LISTS_UPDATED,
   /** Answers from discovery that the endpoint list is unchanged. */
   ENDPOINT_LISTS_UNCHANGED,
-  /** Answers from discovery of which a part could not be read. */
+  /** Parts of lists from discovery that could not be read, 20 for each list at most. */
   ENDPOINT_LISTS_MALFORMED,
   /** Calls to discovery that failed. */
   ENDPOINT_LISTS_FAILED,
 
-  /** Configurations that were read again and applied. */
+  /** Configurations that were read again and are valid; they may change nothing. */
   CONFIGS_APPLIED,
   /** Configurations that were read again and could not be used. */
   CONFIGS_REJECTED,
--- a/router/src/main/java/rushwood/dispatch/PauseDetector.java
+++ b/router/src/main/java/rushwood/dispatch/PauseDetector.java
@@ -11,10 +11,10 @@
   private static final long PAUSE_HALF_LIFE_NANOS = 10_000_000_000L;
 
   /** Earlier than any time, also with a delay added to it. */
-  private static final long NEVER = Long.MIN_VALUE;
+  private static final long NO_PAUSE = Long.MIN_VALUE;
 
   private long pauseStart;
-  private long pauseEnd = NEVER;
+  private long pauseEnd = NO_PAUSE;
   private long longestPauseAtEnd;
   private long turnGap;
   private long previousTurnGap;
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -145,9 +145,9 @@
    * The router stops at that time, Unix time in nanoseconds: every request, new or in flight, has
    * to be answered before.
    */
-  public void shuttingDown(long deadline) {
-    shutdownDeadline = deadline;
-    events.deliver(policy -> policy.shuttingDown(clock.now(), deadline));
+  public void shuttingDown(long lastAnswerTime) {
+    shutdownDeadline = lastAnswerTime;
+    events.deliver(policy -> policy.shuttingDown(clock.now(), lastAnswerTime));
   }
 
   /** Closes the idle connections to hosts. */
--- a/router/src/main/java/rushwood/net/ConnectionLimiter.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimiter.java
@@ -22,7 +22,7 @@
  * once for each that is accepted.
  */
 final class ConnectionLimiter {
-  // A turn of the event loop takes no longer.
+  // Longer than a usual turn of the event loop: by then all sockets have been read once.
   private static final long EVICTION_DELAY_NANOS = 1_000_000L;
 
   // As many as are accepted in one turn.
--- a/router/src/main/java/rushwood/overload/AmbiguousWrites.java
+++ b/router/src/main/java/rushwood/overload/AmbiguousWrites.java
@@ -15,7 +15,7 @@
   /** The id of a request that is not ambiguous. */
   static final long NO_ID = 0;
 
-  /** The value of a fingerprint that several writes share: the id of none of them. */
+  /** The value of a fingerprint that several writes share; no write that is resolved has it. */
   private static final long SEVERAL_WRITES = NO_ID;
 
   private final boolean enabled;
--- a/router/src/main/java/rushwood/overload/ConnectBackoff.java
+++ b/router/src/main/java/rushwood/overload/ConnectBackoff.java
@@ -5,6 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.Nullable;
 import rushwood.api.HostId;
+import rushwood.api.Times;
 
 /**
  * Limits connection attempts to hosts that accept none: after a failure one attempt at a time, at
--- a/router/src/main/java/rushwood/overload/ConnectionAdmission.java
+++ b/router/src/main/java/rushwood/overload/ConnectionAdmission.java
@@ -81,7 +81,7 @@
 
   /**
    * From now on clients that lose a connection cannot open another here, so that only connections
-   * without a request are closed for others.
+   * that have never sent a request are closed for others; idle ones are kept.
    */
   public void startShutdown() {
     evictionPolicy.startShutdown();
--- a/router/src/main/java/rushwood/overload/ConnectionList.java
+++ b/router/src/main/java/rushwood/overload/ConnectionList.java
@@ -1,6 +1,7 @@
 package rushwood.overload;
 
 import org.jspecify.annotations.Nullable;
+import rushwood.api.Times;
 
 /**
  * Connections in the order in which they were added: a doubly linked ring of the connections
--- a/router/src/main/java/rushwood/overload/DescriptorBudget.java
+++ b/router/src/main/java/rushwood/overload/DescriptorBudget.java
@@ -1,5 +1,7 @@
 package rushwood.overload;
 
+import rushwood.api.Times;
+
 /**
  * Divides the sockets that the process may hold between clients and backends, by what backends turn
  * out to need.
@@ -8,7 +10,8 @@
  *
  * <ul>
  *   <li>Backends have a quarter more than their recent peak ({@link #BACKEND_HEADROOM}), and {@link
- *       #MIN_BACKEND_SHARE} at least; if they need more, they get it as idle clients are closed.
+ *       #MIN_BACKEND_SHARE} at least; if they need more, the limit of clients falls at the next
+ *       accept; until then only idle connections to backends make room.
  *   <li>Clients have the rest, and {@link #MIN_CLIENT_PERCENT} of all sockets at least.
  * </ul>
  *
--- a/router/src/main/java/rushwood/overload/OverloadControlSignals.java
+++ b/router/src/main/java/rushwood/overload/OverloadControlSignals.java
@@ -39,8 +39,8 @@
   }
 
   @Override
-  public void attemptSent(long now, GroupId group, boolean retry) {
-    statistics.recordAttempt(now, group, retry);
+  public void attemptSent(long now, GroupId group, boolean isCostlyRetry) {
+    statistics.recordAttempt(now, group, isCostlyRetry);
   }
 
   @Override
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -13,6 +13,7 @@
 import rushwood.api.RequestId;
 import rushwood.api.RoutingPolicy;
 import rushwood.api.RoutingSettings;
+import rushwood.api.Times;
 
 /**
  * Decorates the routing policy of a router: observes its events and actions, detects overload in
@@ -165,8 +166,8 @@
   }
 
   @Override
-  public void shuttingDown(long now, long deadline) {
-    policy.shuttingDown(now, deadline);
+  public void shuttingDown(long now, long lastAnswerTime) {
+    policy.shuttingDown(now, lastAnswerTime);
   }
 
   @Override
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -144,15 +144,15 @@
         || group.retryBudget().isRetryAllowed(now);
   }
 
-  void recordAttempt(long now, GroupId id, boolean retry) {
+  void recordAttempt(long now, GroupId id, boolean isCostlyRetry) {
     GroupStatistics group = groups.get(id);
     if (group == null) {
       return;
     }
-    if (retry) {
+    if (isCostlyRetry) {
       group.retryBudget().recordRetry(now);
     } else {
-      group.retryBudget().recordFirstAttempt(now);
+      group.retryBudget().recordUnlimitedAttempt(now);
     }
   }
 
--- a/router/src/main/java/rushwood/overload/RepeatSketch.java
+++ b/router/src/main/java/rushwood/overload/RepeatSketch.java
@@ -1,6 +1,7 @@
 package rushwood.overload;
 
 import java.util.Arrays;
+import rushwood.api.Times;
 
 /**
  * Counts how often a fingerprint was added lately, in memory of fixed size: two count-min sketches
--- a/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
@@ -1,6 +1,7 @@
 package rushwood.overload;
 
 import java.util.Arrays;
+import rushwood.api.Times;
 
 /**
  * Spreads the times at which rejected clients return: a wheel of slots ahead of now, each with room
--- a/router/src/main/java/rushwood/overload/RetryBudget.java
+++ b/router/src/main/java/rushwood/overload/RetryBudget.java
@@ -1,8 +1,11 @@
 package rushwood.overload;
 
+import rushwood.api.Times;
+
 /**
- * Limits retries to a share of the first attempts and a number a second that is always allowed: a
- * token bucket in which each first attempt puts a part of a token and each retry takes one. It is
+ * Limits retries that cost their host work to a share of all other attempts and a number a second
+ * that is always allowed: a token bucket in which each other attempt puts a part of a token and
+ * each such retry takes one. The others are first attempts and retries that cost no work. It is
  * kept up to date always and asked only under overload ({@link OverloadStatistics#isRetryAllowed}).
  * Times are clock times in nanoseconds.
  */
@@ -26,13 +29,13 @@
     tokens = maxTokens;
   }
 
-  /** A first attempt was sent. */
-  void recordFirstAttempt(long now) {
+  /** A first attempt, or a retry that cost no host work, was sent. */
+  void recordUnlimitedAttempt(long now) {
     refill(now);
     tokens = Math.min(maxTokens, tokens + tokensPerFirstAttempt);
   }
 
-  /** A retry was sent, whether it was allowed or not. */
+  /** A retry that costs its host work was sent, whether it was allowed or not. */
   void recordRetry(long now) {
     refill(now);
     tokens = Math.max(0, tokens - 1);
--- a/router/src/main/java/rushwood/policy/ConcurrencyState.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyState.java
@@ -1,5 +1,7 @@
 package rushwood.policy;
 
+import rushwood.api.Times;
+
 /**
  * What the {@link ConcurrencyLimiter}, its only writer, knows of a host: how many attempts may be
  * in flight there, how slow its answers are, and until when it gets nothing.
@@ -8,7 +10,7 @@
   private final double initialLimit;
   private final ExponentialAverage latencyRatio = new ExponentialAverage(0);
   private double limit;
-  private long pausedUntil = HostState.NEVER;
+  private long pausedUntil = Times.LONG_AGO;
 
   /** Creates the state of a host whose answers are not known yet. */
   ConcurrencyState(double initialLimit) {
@@ -34,7 +36,7 @@
     latencyRatio.add(ratio, weight);
   }
 
-  /** The end of the last pause, as a clock time; {@link HostState#NEVER} if there was none. */
+  /** The end of the last pause, as a clock time; {@link Times#LONG_AGO} if there was none. */
   long pausedUntil() {
     return pausedUntil;
   }
@@ -51,6 +53,6 @@
   void reset() {
     limit = initialLimit;
     latencyRatio.reset(0);
-    pausedUntil = HostState.NEVER;
+    pausedUntil = Times.LONG_AGO;
   }
 }
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -109,8 +109,8 @@
   }
 
   @Override
-  public void shuttingDown(long now, long deadline) {
-    lifecycle.shuttingDown(deadline);
+  public void shuttingDown(long now, long lastAnswerTime) {
+    lifecycle.shuttingDown(lastAnswerTime);
   }
 
   /**
--- a/router/src/main/java/rushwood/policy/FinalAnswers.java
+++ b/router/src/main/java/rushwood/policy/FinalAnswers.java
@@ -14,7 +14,7 @@
     this.retries = retries;
   }
 
-  /** Tells the client that the request did no harm, and when to try again. */
+  /** Tells the client that trying again is harmless, and when to do so. */
   void reject(PendingRequest pending, long now) {
     requests.finish(pending);
     actions.reject(pending.request.id(), retries.retryAfterNanos(pending, now));
--- a/router/src/main/java/rushwood/policy/HostHealth.java
+++ b/router/src/main/java/rushwood/policy/HostHealth.java
@@ -1,5 +1,7 @@
 package rushwood.policy;
 
+import rushwood.api.Times;
+
 /**
  * Whether a host can be reached and answers, as far as this router knows, and what it has done to
  * find out. Times are clock times in nanoseconds.
@@ -14,9 +16,9 @@
   }
 
   private Status status = Status.HEALTHY;
-  private long ejectedAt = HostState.NEVER;
-  private long nextTrialAt = HostState.NEVER;
-  private long lastAnswerAt = HostState.NEVER;
+  private long ejectedAt = Times.LONG_AGO;
+  private long nextTrialAt = Times.LONG_AGO;
+  private long lastAnswerAt = Times.LONG_AGO;
   private boolean healthCheckInFlight;
 
   Status status() {
@@ -69,7 +71,7 @@
     lastAnswerAt = now;
   }
 
-  /** When the host last answered an attempt; {@link HostState#NEVER} if it never did. */
+  /** When the host last answered an attempt; {@link Times#LONG_AGO} if it never did. */
   long lastAnswerAt() {
     return lastAnswerAt;
   }
--- a/router/src/main/java/rushwood/policy/HostState.java
+++ b/router/src/main/java/rushwood/policy/HostState.java
@@ -5,11 +5,8 @@
 import rushwood.api.Endpoint;
 import rushwood.api.HostId;
 
-/** What a router knows of a host. Times are {@link #NEVER} where nothing has happened yet. */
+/** What a router knows of a host. */
 final class HostState {
-  /** Earlier than any clock time, and far enough from the end that sums with it do not overflow. */
-  static final long NEVER = Long.MIN_VALUE / 2;
-
   final HostId id;
   final HostHealth health = new HostHealth();
   final ReplicationState replication = new ReplicationState();
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -8,6 +8,7 @@
 import rushwood.api.RequestClass;
 import rushwood.api.RequestClass.Consistency;
 import rushwood.api.RequestClass.Idempotency;
+import rushwood.api.Times;
 
 /**
  * A request that the policy has accepted, with its attempts, of which the last alone can be in
@@ -15,7 +16,7 @@
  */
 final class PendingRequest {
   /** Required of a replica by a read that data of any age may answer. */
-  static final long ANY_POSITION = HostState.NEVER;
+  static final long ANY_POSITION = Times.LONG_AGO;
 
   final Request request;
   final RequestClass requestClass;
--- a/router/src/main/java/rushwood/policy/ReplicationState.java
+++ b/router/src/main/java/rushwood/policy/ReplicationState.java
@@ -1,15 +1,17 @@
 package rushwood.policy;
 
+import rushwood.api.Times;
+
 /**
  * What a router has heard of a host's replication: its position and its role. Times are clock times
- * in nanoseconds, {@link HostState#NEVER} where nothing has been heard yet.
+ * in nanoseconds, {@link Times#LONG_AGO} where nothing has been heard yet.
  */
 final class ReplicationState {
-  private long position = HostState.NEVER;
-  private long positionHeardAt = HostState.NEVER;
-  private long readRefusedAt = HostState.NEVER;
-  private long writeRefusedAt = HostState.NEVER;
-  private long roleKnownAt = HostState.NEVER;
+  private long position = Times.LONG_AGO;
+  private long positionHeardAt = Times.LONG_AGO;
+  private long readRefusedAt = Times.LONG_AGO;
+  private long writeRefusedAt = Times.LONG_AGO;
+  private long roleKnownAt = Times.LONG_AGO;
 
   /** How far the host has applied the log, as a time; it may have applied more by now. */
   long position() {
@@ -53,7 +55,7 @@
   }
 
   boolean isRoleKnown() {
-    return roleKnownAt != HostState.NEVER;
+    return roleKnownAt != Times.LONG_AGO;
   }
 
   void recordRoleEvidence(long evidenceAt) {
--- a/router/src/main/java/rushwood/policy/RequestExpiry.java
+++ b/router/src/main/java/rushwood/policy/RequestExpiry.java
@@ -18,8 +18,8 @@
   }
 
   /** Every request is found before the router ends. */
-  void shuttingDown(long deadline, Iterable<PendingRequest> requests) {
-    deadlines.shutDownAt(deadline);
+  void shuttingDown(long lastAnswerTime, Iterable<PendingRequest> requests) {
+    deadlines.shutDownAt(lastAnswerTime);
     requests.forEach(this::add);
   }
 
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -85,8 +85,8 @@
   }
 
   /** Every request is answered before that time. */
-  void shuttingDown(long deadline) {
-    expiry.shuttingDown(deadline, requests.all());
+  void shuttingDown(long lastAnswerTime) {
+    expiry.shuttingDown(lastAnswerTime, requests.all());
   }
 
   /** Ends the requests whose answer deadline has come. */
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -38,6 +38,9 @@
    *   <li>it may have run, and has no idempotency key and is not idempotent;
    *   <li>it may have run, and the window of its idempotency key is nearly over.
    * </ol>
+   *
+   * <p>The budget is asked before safety, so a retry that it denies may be one that was not allowed
+   * anyway.
    */
   @Nullable EndReason reasonAgainstAttempt(PendingRequest pending, long now) {
     if (pending.attemptCount() >= maxAttempts) {
--- a/router/src/main/java/rushwood/policy/SlowStart.java
+++ b/router/src/main/java/rushwood/policy/SlowStart.java
@@ -10,11 +10,11 @@
  * nanoseconds.
  */
 final class SlowStart {
-  /** The share of the collapse multiple that a cold host gets; the rest is margin. */
-  private static final double MULTIPLE_SHARE = 0.5;
+  /** The share of the load at which a cold host collapses that it gets; the rest is margin. */
+  private static final double SAFE_LOAD_SHARE = 0.5;
 
   /** The same where several routers share a slot: a larger margin, for many routers. */
-  private static final double SHARED_SLOTS_SHARE = 0.35;
+  private static final double SAFE_LOAD_SHARE_OF_SHARED_SLOTS = 0.35;
 
   /** How much of the work of a collapse window may come at once; more would be an early burst. */
   private static final double BURST_SHARE = 0.25;
@@ -26,7 +26,7 @@
   private final RandomGenerator random;
   private final ServiceTimes serviceTimes;
   private final HostTable hosts;
-  private final double multipleShare;
+  private final double safeLoadShare;
 
   SlowStart(
       RoutingSettings settings,
@@ -38,23 +38,26 @@
     this.serviceTimes = serviceTimes;
     this.hosts = hosts;
     boolean areSlotsShared = ConcurrencyLimiter.areSlotsShared(settings);
-    multipleShare = areSlotsShared ? SHARED_SLOTS_SHARE : MULTIPLE_SHARE;
+    safeLoadShare = areSlotsShared ? SAFE_LOAD_SHARE_OF_SHARED_SLOTS : SAFE_LOAD_SHARE;
   }
 
-  /** The share of its capacity that a host has at the least, by its age: 1 once it is warm. */
-  private double progress(HostState host, long now) {
+  /**
+   * The share of its full capacity that a host of this age has at least: from the settings' share
+   * at its start to 1 after the warm-up time.
+   */
+  private double capacityShare(HostState host, long now) {
     double age = (double) host.slowStart.ageNanos(now) / settings.warmupNanos();
     double initial = settings.coldStartShare();
     return age >= 1 ? 1 : initial + (1 - initial) * Math.max(0, age);
   }
 
   private boolean isWarm(HostState host, long now) {
-    return progress(host, now) == 1;
+    return capacityShare(host, now) == 1;
   }
 
   /** The share of a warm host's slots and work that this host may get, at most 1. */
   double share(HostState host, long now) {
-    return Math.min(1, progress(host, now) * settings.collapseMultiple() * multipleShare);
+    return Math.min(1, capacityShare(host, now) * settings.collapseMultiple() * safeLoadShare);
   }
 
   /**
@@ -78,7 +81,10 @@
     return host.slowStart.tokens.has(expected);
   }
 
-  /** What warm hosts complete for the host's weight; with none warm, what its slots allow. */
+  /**
+   * The work that a warm host of this weight completes, in nanoseconds of work a nanosecond. With
+   * none warm it is what the host's slots allow: a busy slot completes one.
+   */
   private double warmRate(HostState host, long now) {
     double rate = 0;
     double weight = 0;
--- a/router/src/main/java/rushwood/policy/Suitability.java
+++ b/router/src/main/java/rushwood/policy/Suitability.java
@@ -4,9 +4,12 @@
 enum Suitability {
   /** Known to have applied what the read must see. */
   FRESH,
-  /** Has applied it, if it is no further behind than when it was last heard of. */
+  /**
+   * Has applied it, if it is no further behind than when it was last heard of; or nothing was heard
+   * of it yet.
+   */
   LIKELY_FRESH,
-  /** May be too far behind, and says so itself. */
+  /** Probably too far behind, but worth a try: hosts that are refuse the read or let it wait. */
   LAGGING,
   /** The primary, for reads that a replica could answer. */
   PRIMARY_FALLBACK,
--- a/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
+++ b/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
@@ -59,6 +59,7 @@
     if (servesStale || needsPrimary || hasRefusedLately(host, lagNanos, now)) {
       return Suitability.UNSUITABLE;
     }
+    // Also true of a host that was never heard of: nothing speaks against it.
     boolean isLikely = lagNanos <= now - host.replication.positionHeardAt();
     return isLikely ? Suitability.LIKELY_FRESH : Suitability.LAGGING;
   }
--- a/router/src/main/java/rushwood/protocol/ClientErrors.java
+++ b/router/src/main/java/rushwood/protocol/ClientErrors.java
@@ -2,7 +2,10 @@
 
 /** The errors with fixed texts that clients are sent. */
 public final class ClientErrors {
-  /** Answers a request that did not run; sent with a Retry-After where there is one. */
+  /**
+   * Rejects a request that ran nowhere or is idempotent; sent with a Retry-After where there is
+   * one.
+   */
   static final ErrorResponse REQUEST_REJECTED =
       ErrorResponse.error(SqlState.TOO_MANY_CONNECTIONS, "turned back: trying again is harmless");
 
--- a/router/src/main/java/rushwood/protocol/SqlStatement.java
+++ b/router/src/main/java/rushwood/protocol/SqlStatement.java
@@ -32,9 +32,6 @@
     long lastWriteAt)
     implements Statement {
 
-  /** The group of statements that name none, as of endpoints that are listed without one. */
-  static final GroupId UNNAMED_GROUP = new GroupId(-1);
-
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
   private static final int TYPE_BYTES = 1;
--- a/router/src/main/java/rushwood/protocol/StatementComment.java
+++ b/router/src/main/java/rushwood/protocol/StatementComment.java
@@ -86,11 +86,11 @@
     return new RequestId(id);
   }
 
-  /** The group, {@link SqlStatement#UNNAMED_GROUP} if there is no such field. */
+  /** The group, {@link GroupId#UNKNOWN} if there is no such field. */
   GroupId group() throws ProtocolException {
     return fields.containsKey(GROUP_FIELD)
         ? new GroupId((int) parseNumber(GROUP_FIELD, Integer.MAX_VALUE))
-        : SqlStatement.UNNAMED_GROUP;
+        : GroupId.UNKNOWN;
   }
 
   /** How long the client waits, more than no time and an hour at most. */
--- a/router/src/main/java/rushwood/server/ConfigApplier.java
+++ b/router/src/main/java/rushwood/server/ConfigApplier.java
@@ -12,8 +12,9 @@
  *   <li>{@code discovery} takes effect at once: the agent at the new address is polled, and the
  *       watch at the old one counts until the new list has come;
  *   <li>{@code name}, {@code listen}, {@code limits.sockets} and {@code settings} keep the values
- *       of the start until a restart. A change is logged, but not one of the classes' deadlines or
- *       of {@code rules.drain_grace} alone;
+ *       of the start until a restart. A change of one of them is logged. Of {@code settings} the
+ *       classes' deadlines and {@code rules.drain_grace} are not compared, so that a change of
+ *       these alone is ignored without a line;
  *   <li>{@code seed} and {@code known} are of use at a start only, and a change is ignored.
  * </ul>
  *
--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -11,8 +11,8 @@
  *
  * <ol>
  *   <li>At once: the routing policy is told the time of the last answer, T + 0.5 s (3.5 s), by
- *       which it answers every request that it holds. Connections are still accepted, and of those
- *       that are open only ones without a request are closed to make room for others.
+ *       which it answers every request that it holds. Connections are still accepted. To make room
+ *       for others, only those are closed that have never sent a request; idle ones are kept.
  *   <li>Until T + 0.2 s (3.2 s), earlier by twice the longest recent pause of the process, but
  *       never before 0.55 s: requests on open and on new connections are served as before.
  *   <li>Then the drain: each connection is closed as soon as it has no request, and new ones are
--- a/router/src/test/java/rushwood/overload/RetryBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/RetryBudgetTest.java
@@ -14,7 +14,7 @@
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
       long at = i * NANOS_PER_MILLI;
-      budget.recordFirstAttempt(at);
+      budget.recordUnlimitedAttempt(at);
       for (int j = 0; j < 3; j++) {
         if (budget.isRetryAllowed(at)) {
           budget.recordRetry(at);
--- a/router/src/test/java/rushwood/policy/RequestDeciderTest.java
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -87,7 +87,7 @@
       }
 
       @Override
-      public void attemptSent(long now, GroupId group, boolean retry) {}
+      public void attemptSent(long now, GroupId group, boolean isCostlyRetry) {}
 
       @Override
       public boolean canConnect(long now, HostId host) {
