--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -1,14 +1,8 @@
 package rushwood.testbed.load;
 
-import io.netty.buffer.ByteBuf;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.SimpleChannelInboundHandler;
 import java.util.SplittableRandom;
 import org.jspecify.annotations.Nullable;
 import rushwood.testbed.standin.ErrorCodes;
-import rushwood.testbed.standin.Loopback;
-import rushwood.testbed.standin.MessageEncoder;
 import rushwood.testbed.standin.ProtocolMessage;
 import rushwood.testbed.standin.Statement;
 
@@ -20,7 +14,6 @@
  * of unknown outcome.
  */
 final class SocketClient {
-  private static final int QUERY_BUFFER_BYTES = 256;
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final int MAX_RESENDS = 1;
   private static final String KEY_PREFIX = "k";
@@ -44,9 +37,8 @@
   private int triesMade;
   private int resends;
   private long retryAfter; // of the last try, 0 for none
-  private @Nullable Channel channel;
-  private boolean connected; // the startup message was sent, and no close of the channel is known
-  private boolean querySent;
+  private @Nullable ClientConnection
+      connection; // the last that was opened; events of others are ignored
   private boolean tryEnded;
   private boolean toldToComeBack; // on this connection, as the last try was rejected
   private boolean finished;
@@ -82,8 +74,8 @@
     int thisTry = triesMade;
     tryDeadline = context.now() + spec.tryTimeoutNanos();
     context.scheduleAfter(spec.tryTimeoutNanos(), () -> onTimeout(thisTry));
-    if (connected && channel != null) {
-      sendQuery(channel);
+    if (connection != null && connection.isUsable()) {
+      sendQuery(connection);
     } else {
       connect();
     }
@@ -98,30 +90,13 @@
 
   private void connect() {
     counts.connectStarted();
-    querySent = false;
-    channel =
-        Loopback.connect(context.loop(), context.router(), new ResponseHandler())
-            .addListener(
-                connecting -> {
-                  if (!connecting.isSuccess() && !tryEnded) {
-                    endTry(TryOutcome.NOT_SENT);
-                  }
-                })
-            .channel();
+    connection = new ClientConnection(context.loop(), context.router(), new ConnectionListener());
   }
 
-  private void sendQuery(Channel target) {
-    querySent = true;
-    ByteBuf out = target.alloc().buffer(QUERY_BUFFER_BYTES);
-    if (!connected) {
-      MessageEncoder.writeStartup(out);
-      connected = true;
-    }
+  private void sendQuery(ClientConnection target) {
     String id = number + "-" + triesMade + (resends > 0 ? "-" + resends : "");
     long deadlineMillis = Math.max(1, (tryDeadline - context.now()) / NANOS_PER_MILLI);
-    MessageEncoder.writeQuery(
-        out, Statement.format(spec.requestClass(), key(), id, deadlineMillis, spec.group()));
-    target.writeAndFlush(out);
+    target.send(Statement.format(spec.requestClass(), key(), id, deadlineMillis, spec.group()));
   }
 
   private String key() {
@@ -134,14 +109,17 @@
   }
 
   private void disconnect() {
-    connected = false;
-    if (channel != null) {
-      channel.close();
+    if (connection != null) {
+      connection.close();
     }
   }
 
+  private boolean hasSentQuery() {
+    return connection != null && connection.hasSentQuery();
+  }
+
   private void endWithoutAnswer() {
-    endTry(querySent ? TryOutcome.NO_ANSWER : TryOutcome.NOT_SENT);
+    endTry(hasSentQuery() ? TryOutcome.NO_ANSWER : TryOutcome.NOT_SENT);
   }
 
   private void endTry(TryOutcome outcome) {
@@ -212,33 +190,33 @@
     }
   }
 
-  /** What comes on one connection; ignored once the client has opened another one. */
-  private final class ResponseHandler extends SimpleChannelInboundHandler<ProtocolMessage> {
-    private boolean isCurrent(ChannelHandlerContext handlerContext) {
-      return handlerContext.channel() == channel;
+  /** Takes what comes on the present connection; what comes on an earlier one is ignored. */
+  private final class ConnectionListener implements ClientConnection.Listener {
+    @Override
+    public void connectionOpened(ClientConnection opened) {
+      if (!tryEnded && opened == connection) {
+        sendQuery(opened);
+      }
     }
 
     @Override
-    public void channelActive(ChannelHandlerContext handlerContext) {
-      if (!tryEnded && isCurrent(handlerContext)) {
-        sendQuery(handlerContext.channel());
+    public void connectionFailed() {
+      if (!tryEnded) {
+        endTry(TryOutcome.NOT_SENT);
       }
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext handlerContext, ProtocolMessage message) {
-      boolean isAnswer =
-          message.type() == ProtocolMessage.DATA_ROW
-              || message.type() == ProtocolMessage.ERROR_RESPONSE;
-      if (!isCurrent(handlerContext) || !isAnswer) {
+    public void answerReceived(ClientConnection source, ProtocolMessage answer) {
+      if (source != connection) {
         return;
       }
       if (tryEnded) {
         counts.surplusAnswer();
-      } else if (message.type() == ProtocolMessage.DATA_ROW) {
-        handleRow(message);
+      } else if (answer.type() == ProtocolMessage.DATA_ROW) {
+        handleRow(answer);
       } else {
-        handleError(message);
+        handleError(source, answer);
       }
     }
 
@@ -249,12 +227,12 @@
       endTry(TryOutcome.SUCCESS);
     }
 
-    private void handleError(ProtocolMessage error) {
+    private void handleError(ClientConnection source, ProtocolMessage error) {
       String sqlState = error.errorField(ProtocolMessage.SQL_STATE_FIELD).orElse("");
       long retryAfterMillis =
           error.errorField(ProtocolMessage.DETAIL_FIELD).map(Long::parseLong).orElse(0L);
       if (error.errorField(ProtocolMessage.SEVERITY_FIELD).orElse("").equals("FATAL")) {
-        connected = false;
+        source.markUnusable();
       }
       TryOutcome outcome =
           ErrorCodes.isRejection(sqlState) ? TryOutcome.REJECTED : TryOutcome.FAILED;
@@ -262,14 +240,13 @@
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext handlerContext) {
-      if (!isCurrent(handlerContext)) {
+    public void connectionClosed(ClientConnection closed, boolean wasUsable) {
+      if (closed != connection) {
         return;
       }
-      if (toldToComeBack && tryEnded && connected && !finished) {
+      if (toldToComeBack && tryEnded && wasUsable && !finished) {
         counts.closedDespiteRetryAfter();
       }
-      connected = false;
       if (!tryEnded) {
         resendOrEnd();
       }
@@ -277,17 +254,12 @@
 
     /** A read that crossed with the router's close is sent once more; a write may have run. */
     private void resendOrEnd() {
-      if (querySent && resends < MAX_RESENDS && !spec.isWrite()) {
+      if (hasSentQuery() && resends < MAX_RESENDS && !spec.isWrite()) {
         resends++;
         connect();
       } else {
         endWithoutAnswer();
       }
     }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
-      handlerContext.close();
-    }
   }
 }
