--- a/router/src/main/java/rushwood/membership/Membership.java
+++ b/router/src/main/java/rushwood/membership/Membership.java
@@ -79,7 +79,6 @@
       case PING -> outbox.send(from, PeerMessage.Kind.ACK, message.sequenceNumber(), self.id());
       case PING_REQ -> probeRelay.relay(now, from, message);
       case ACK -> ackReceived(from, message.sequenceNumber());
-      default -> throw new IllegalStateException("kind " + message.kind());
     }
     return outbox.drain();
   }
@@ -165,12 +164,23 @@
     }
   }
 
+  /**
+   * What is said about a member, here or by a peer:
+   *
+   * <ol>
+   *   <li>about this router: refuted if it is wrong;
+   *   <li>about a member outside the peer list: dropped, the sender has another list;
+   *   <li>a suspicion that is held already: a confirmation of it, which shortens its timeout;
+   *   <li>one that {@linkplain MembershipUpdate#overrides overrides} what is held: held from now on
+   *       and passed on, a suspicion with a timeout;
+   *   <li>anything else: dropped, as something newer is held.
+   * </ol>
+   */
   private void applyUpdate(long now, MembershipUpdate update) {
     if (update.member().equals(self.id())) {
       refuteIfWrong(update);
       return;
     }
-    // Of a member outside the peer list the sender has another list: nothing is held of it.
     members.find(update.member()).ifPresent(member -> applyUpdate(now, member, update));
   }
 
--- a/router/src/main/java/rushwood/membership/Prober.java
+++ b/router/src/main/java/rushwood/membership/Prober.java
@@ -5,7 +5,8 @@
 
 /**
  * SWIM's failure detector: pings one member a period and asks others to ping it if no ack comes in
- * time. A probe without an ack by the start of the next is missed.
+ * time. A probe without an ack by the start of the next is missed. Period and time are those of the
+ * settings, times the factor of this router's local health.
  */
 final class Prober {
   /** Is told how the probes end. */
--- a/router/src/test/java/rushwood/membership/ConvergenceMeasurement.java
+++ b/router/src/test/java/rushwood/membership/ConvergenceMeasurement.java
@@ -15,8 +15,8 @@
   void convergenceTimeBySize() {
     assumeTrue(Boolean.getBoolean("rushwood.measure"));
     MembershipSettings settings = MembershipSettings.defaults();
-    for (String each : System.getProperty("rushwood.sizes", "3,5,10,20,100,1000").split(",")) {
-      int size = Integer.parseInt(each);
+    for (String sizeText : System.getProperty("rushwood.sizes", "3,5,10,20,100,1000").split(",")) {
+      int size = Integer.parseInt(sizeText);
       int seeds = size >= 1000 ? 3 : 10;
       long[] elapsed = new long[seeds];
       double rate = 0;
--- a/router/src/test/java/rushwood/membership/MembershipTest.java
+++ b/router/src/test/java/rushwood/membership/MembershipTest.java
@@ -81,10 +81,8 @@
       missed += node.counters().missedProbes();
     }
     // 20 members probe 4 times a second for a minute: 4,800 probes. One is missed when its ping or
-    // ack is lost (0.36) and each of 3 relayed rounds of 4 datagrams is too (0.59 each), which
-    // makes
-    // 0.36 * 0.59^3 = 0.074 of the probes. Measured with this seed: 0.046. Each missed probe only
-    // suspects, and refutation ends that.
+    // ack is lost (0.36) and each of 3 relayed rounds of 4 datagrams is too (0.59 each): 0.074 of
+    // the probes. Each missed probe only suspects, and refutation ends that.
     assertTrue(missed < 4_800 * 74 / 1_000, "missed probes " + missed);
   }
 
