--- a/testbed/src/main/java/rushwood/testbed/load/HostSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/HostSpec.java
@@ -12,7 +12,7 @@
  * @param coldStartSpeed share of its warm speed right after a restart
  * @param warmupSeconds time from a restart until it is warm
  * @param overloadMultiple how many times its present speed it bears while it warms up
- * @param overloadWindowSeconds over which time that is measured
+ * @param overloadWindowSeconds over which time that is counted
  * @param lagSeconds how far it is behind the primary as a replica
  * @param crashesOnOverload whether it crashes when it gets more than it bears
  */
--- a/testbed/src/main/java/rushwood/testbed/load/ReportNames.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ReportNames.java
@@ -80,7 +80,7 @@
   /** Attempts of all routers. */
   public static final String ATTEMPTS = "shots";
 
-  /** Attempts to connect to hosts whose process did not run, with healthChecks. */
+  /** Attempts to connect to hosts whose process did not run, health checks among them. */
   public static final String CONNECTS_WHILE_DOWN = "dials_at_hosts_down";
 
   /** CPU time of the router. */
--- a/testbed/src/main/java/rushwood/testbed/model/ColdLoad.java
+++ b/testbed/src/main/java/rushwood/testbed/model/ColdLoad.java
@@ -20,7 +20,7 @@
   }
 
   /**
-   * Adds work that has come, measured at the host's warm speed.
+   * Adds work that has come, as the time that it takes at the host's warm speed.
    *
    * @param relativeSpeed the host's present speed as a share of its warm speed
    * @return whether the host has now got more than it bears
--- a/testbed/src/main/java/rushwood/testbed/model/HostModel.java
+++ b/testbed/src/main/java/rushwood/testbed/model/HostModel.java
@@ -26,7 +26,7 @@
    * @param coldStartSpeed share of its warm speed right after a restart
    * @param warmupNanos time from a restart until it is warm; the speed grows linearly
    * @param overloadMultiple how many times its present speed it bears while it warms up
-   * @param overloadWindowNanos over which time that is measured; 0 for not at all
+   * @param overloadWindowNanos over which time that is counted; 0 for not at all
    * @param lagNanos how far it is behind the primary as a replica
    */
   public record Parameters(
--- a/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
@@ -22,7 +22,7 @@
    */
   public record Build(Path jar, List<String> flags, String settings, String cpus) {}
 
-  private static final long START_TIMEOUT_MILLIS = 20_000; // far above any start seen
+  private static final long START_TIMEOUT_MILLIS = 20_000; // a start takes a second or two
   private static final long POLL_MILLIS = 20;
   // A router serves on for three and a half seconds after SIGTERM.
   private static final long STOP_TIMEOUT_MILLIS = 8_000;
