--- a/testbed/src/test/java/rushwood/testbed/DrainingCluster.java
+++ b/testbed/src/test/java/rushwood/testbed/DrainingCluster.java
@@ -99,7 +99,9 @@
     assertTrue(
         lastRequest < DRAIN_GRACE_MILLIS * NANOS_PER_MILLI,
         lastRequest / NANOS_PER_MILLI + " ms after it was announced: " + member(0).process().log());
-    assertTrue(cluster.computeOnLoop(() -> member(0).load().sent()) > sentBefore, "it serves on");
+    assertTrue(
+        cluster.computeOnLoop(() -> member(0).load().sent()) > sentBefore,
+        "the first router does not serve on: " + member(0).process().log());
   }
 
   private long lastRequestAt() {
