--- a/router/src/main/java/rushwood/net/AcceptBatch.java
+++ b/router/src/main/java/rushwood/net/AcceptBatch.java
@@ -4,15 +4,15 @@
 import io.netty.channel.ServerChannelRecvByteBufAllocator;
 
 /**
- * How many connections the listener accepts in one turn of the event loop: all that wait, while
- * there is room for them. A connection that waits has been accepted by the kernel, and its client
- * has sent a request whose time runs; until the router accepts it too, it can neither serve nor
- * reject that request.
+ * Limits how many connections the listener accepts per turn of the event loop: all pending ones, as
+ * long as there is room for them. The kernel has already accepted a pending connection, so its
+ * client may have sent a request whose deadline is running. The router can neither serve nor reject
+ * that request before it accepts the connection.
  */
 final class AcceptBatch {
   /**
-   * As many at least, also where there is no room: they may exceed the limit for a moment, on
-   * descriptors of the router's own share.
+   * Connections accepted per turn even if there is no room. They may exceed the connection limit
+   * for a moment and then use descriptors that are reserved for the router itself.
    */
   static final int MIN_CONNECTIONS = 16;
 
@@ -22,16 +22,19 @@
       new ServerChannelRecvByteBufAllocator();
 
   AcceptBatch() {
-    setRoom(0);
+    setRemainingCapacity(0);
   }
 
-  /** Sets for how many connections there is room; holds from the listener's next turn on. */
-  void setRoom(int connections) {
-    int size = Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, connections));
-    allocator.maxMessagesPerRead(size);
+  /**
+   * Sets how many more connections may be opened; takes effect when the listener next starts to
+   * accept.
+   */
+  void setRemainingCapacity(int connections) {
+    int batchSize = Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, connections));
+    allocator.maxMessagesPerRead(batchSize);
   }
 
-  /** What the listener asks before it accepts. */
+  /** Returns the allocator through which the listener's channel applies this limit. */
   RecvByteBufAllocator allocator() {
     return allocator;
   }
--- a/router/src/main/java/rushwood/net/AdmissionReporter.java
+++ b/router/src/main/java/rushwood/net/AdmissionReporter.java
@@ -4,53 +4,62 @@
 import rushwood.overload.ConnectionAdmission;
 import rushwood.overload.ConnectionState;
 
-/** Tells connection admission what the connection of one client does. */
+/** Reports the state of one client connection to {@link ConnectionAdmission}. */
 final class AdmissionReporter {
   private final ConnectionAdmission admission;
-  private final AdmittedConnection admitted;
-  private boolean startedUp;
-  private boolean answered;
-  private boolean retryAfterSent; // as the answer to the last request
+  private final AdmittedConnection admittedConnection;
+  private boolean startupResponseSent;
+  private boolean answerSent;
+  private boolean retryAfterSent; // with the answer to the last request
 
-  AdmissionReporter(ConnectionAdmission admission, AdmittedConnection admitted) {
+  AdmissionReporter(ConnectionAdmission admission, AdmittedConnection admittedConnection) {
     this.admission = admission;
-    this.admitted = admitted;
+    this.admittedConnection = admittedConnection;
   }
 
-  AdmittedConnection admitted() {
-    return admitted;
+  AdmittedConnection admittedConnection() {
+    return admittedConnection;
   }
 
-  /** Whether something was sent to the client after the startup response. */
-  boolean isAnswered() {
-    return answered;
+  /** Returns whether anything was sent to the client after the startup response. */
+  boolean hasSentAnswer() {
+    return answerSent;
   }
 
   void requestSubmitted() {
     retryAfterSent = false;
   }
 
-  /** The answer that is written next tells the client when to try again. */
+  /** The next answer to be written carries a Retry-After time. */
   void retryAfterAnnounced() {
     retryAfterSent = true;
   }
 
-  /** Something was written; the startup response itself does not count as an answer. */
-  void written(boolean isStartingUp) {
-    answered |= startedUp;
-    startedUp |= !isStartingUp;
+  /**
+   * Bytes were written to the client. The startup response itself does not count as an answer.
+   *
+   * @param isStartingUp whether the startup message has not been answered yet
+   */
+  void bytesWritten(boolean isStartingUp) {
+    answerSent |= startupResponseSent;
+    startupResponseSent |= !isStartingUp;
   }
 
-  /** Reports the state; {@code isIdle} if there is no request, and no part of a message. */
+  /**
+   * Reports the current state.
+   *
+   * @param isIdle whether the client has no pending request and has sent no part of a message
+   * @param now clock time in nanoseconds
+   */
   void report(boolean isIdle, long now) {
-    admission.setState(admitted, connectionState(isIdle), now);
+    admission.setState(admittedConnection, connectionState(isIdle), now);
   }
 
   private ConnectionState connectionState(boolean isIdle) {
     if (!isIdle) {
       return ConnectionState.BUSY;
     }
-    if (!answered) {
+    if (!answerSent) {
       return ConnectionState.NEW;
     }
     return retryAfterSent ? ConnectionState.AWAITING_RETRY : ConnectionState.IDLE;
--- a/router/src/main/java/rushwood/net/BackendChannel.java
+++ b/router/src/main/java/rushwood/net/BackendChannel.java
@@ -14,22 +14,22 @@
 import rushwood.protocol.MessageWriter;
 
 /**
- * One connection to a host: the handler of its channel, which reads and writes for a {@link
- * BackendProtocol}. Used on the event loop of the channel only.
+ * A connection to a host: the channel handler that passes input to a {@link BackendProtocol} and
+ * writes its statements. Used only on the event loop of its channel.
  */
 final class BackendChannel extends ChannelInboundHandlerAdapter implements BackendConnection {
   private final ByteBufAllocator allocator;
   private final Counters counters;
   private final BackendProtocol protocol;
 
-  @SuppressWarnings("NullAway.Init") // attach sets it before the channel calls its handler
+  @SuppressWarnings("NullAway.Init") // set by attach before the channel calls its handler
   private Channel channel;
 
-  private boolean accepted;
+  private boolean accepted; // by the host
   private boolean statementWritten;
-  private boolean closed; // the protocol has been told, and hears nothing more
+  private boolean closed; // the protocol was notified and gets no further input
 
-  /** Creates the handler of a channel that is not connected yet; {@link #attach} has to follow. */
+  /** Creates the handler for a channel that is not connected yet. Call {@link #attach} next. */
   BackendChannel(
       ByteBufAllocator allocator, Counters counters, BackendConnection.Listener listener) {
     this.allocator = allocator;
@@ -37,14 +37,15 @@
     protocol = new BackendProtocol(allocator, listener);
   }
 
-  /** Sets the channel that this handler was given to. */
+  /** Sets the channel whose pipeline contains this handler. */
   void attach(Channel channel) {
     this.channel = channel;
   }
 
   /**
-   * A host that is gone refuses a connection or does not react. Any other failure means that it
-   * accepted the connection and reset it at once.
+   * Reports that the connection could not be established. If the host is down, connecting is
+   * refused, times out or finds no route; any other failure means that the host accepted the
+   * connection and reset it immediately.
    */
   void connectFailed(Throwable cause) {
     accepted = !(cause instanceof ConnectException || cause instanceof NoRouteToHostException);
--- a/router/src/main/java/rushwood/net/BackendConnector.java
+++ b/router/src/main/java/rushwood/net/BackendConnector.java
@@ -14,8 +14,8 @@
 import rushwood.protocol.MessageWriter;
 
 /**
- * Opens connections to hosts, each a {@link BackendChannel}. Used on the event loop of its channels
- * only.
+ * Opens connections to hosts, each a {@link BackendChannel}. Used only on the event loop of its
+ * channels.
  */
 public final class BackendConnector implements BackendConnection.Connector {
   private static final String LOAD_REPORT_QUERY = "SHOW gauges";
@@ -25,7 +25,10 @@
   private final ByteBufAllocator allocator;
   private final Counters counters;
 
-  /** Connects over TCP. Connecting has no time limit here: the pool closes what takes too long. */
+  /**
+   * Creates a connector for TCP. It sets no connect timeout because the connection pool closes
+   * connections that take too long to open.
+   */
   public BackendConnector(EventLoop eventLoop, ByteBufAllocator allocator, Counters counters) {
     this(
         new Bootstrap()
@@ -39,10 +42,10 @@
   }
 
   /**
-   * Connects with other sockets than TCP's.
+   * Creates a connector for sockets other than TCP.
    *
-   * @param bootstrap event loop, kind of channel and options
-   * @param toSocketAddress the address to connect to for a listed address
+   * @param bootstrap supplies the event loop, the channel type and the options
+   * @param toSocketAddress maps the address of an endpoint to the socket address to connect to
    */
   public BackendConnector(
       Bootstrap bootstrap,
--- a/router/src/main/java/rushwood/net/ClientListener.java
+++ b/router/src/main/java/rushwood/net/ClientListener.java
@@ -14,14 +14,14 @@
 import java.nio.channels.spi.SelectorProvider;
 import java.util.concurrent.TimeUnit;
 
-/** The socket at which clients connect. {@link #stop} is called on the event loop. */
+/** The listening socket for client connections. */
 public final class ClientListener {
-  /** Long enough that the event loop has run its selector before. */
-  private static final long SELECT_MILLIS = 1;
+  /** Gives the event loop time to run its selector, which completes the deregistration. */
+  private static final long DEREGISTRATION_DELAY_MILLIS = 1;
 
   private final ServerSocketChannel socket;
   private final Channel channel;
-  private boolean stopping; // used on the event loop only
+  private boolean stopping; // used only on the event loop
 
   private ClientListener(ServerSocketChannel socket, Channel channel) {
     this.socket = socket;
@@ -29,9 +29,10 @@
   }
 
   /**
-   * Binds the address and hands accepted connections to the server; blocks until that is done.
+   * Binds the address and passes accepted connections to the server. Blocks until the address is
+   * bound, so it must not be called on the event loop.
    *
-   * @throws IOException if no socket can be opened
+   * @throws IOException if the socket cannot be opened or bound
    * @throws InterruptedException if the thread is interrupted while it waits
    */
   public static ClientListener bind(
@@ -50,47 +51,51 @@
     return new ClientListener(socket, bootstrap.bind(address).sync().channel());
   }
 
-  /** Where it listens. */
+  /** Returns the address to which the listener is bound. */
   public SocketAddress localAddress() {
     return channel.localAddress();
   }
 
-  /** Whether {@link #stop} is done. */
+  /** Returns whether {@link #stop} has completed and the socket is closed. */
   public boolean isStopped() {
     return !channel.isOpen();
   }
 
   /**
-   * Accepts the connections that wait, and closes the socket: whoever comes later is refused by the
-   * kernel, and so has sent nothing. A socket that is closed while connections wait resets them,
-   * with the requests that their clients have sent.
+   * Accepts all pending connections and then closes the socket. From then on the kernel refuses
+   * connections, so no client can have sent a request on one. Closing the socket with connections
+   * pending would reset them and lose the requests that their clients have sent.
    *
-   * <p>Done when {@link #isStopped}: the Java runtime closes a socket only once its selector has
-   * let go of it, so it is taken out of the selector first, and the last connections are accepted
-   * in a later turn of the event loop.
+   * <p>Returns immediately; {@link #isStopped} tells when the socket is closed. The Java runtime
+   * closes a socket only after its selector has released it, so the socket is deregistered first,
+   * and the last connections are accepted in a later turn of the event loop.
+   *
+   * <p>Must be called on the event loop. Further calls have no effect.
    */
   public void stop() {
     if (!stopping) {
       stopping = true;
       channel.deregister();
-      channel.eventLoop().schedule(this::acceptAndClose, SELECT_MILLIS, TimeUnit.MILLISECONDS);
+      channel
+          .eventLoop()
+          .schedule(this::acceptAndClose, DEREGISTRATION_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void acceptAndClose() {
     try {
       for (var client = socket.accept(); client != null; client = socket.accept()) {
-        handOver(client);
+        registerClient(client);
       }
     } catch (IOException e) {
-      // No descriptor is left, or the client has gone: the others cannot be accepted either.
+      // No descriptor is left, or the client has disconnected: stop accepting in either case.
       channel.pipeline().fireExceptionCaught(e);
     } finally {
       channel.close();
     }
   }
 
-  private void handOver(SocketChannel client) {
+  private void registerClient(SocketChannel client) {
     channel.pipeline().fireChannelRead(new NioSocketChannel(channel, client));
   }
 }
--- a/router/src/main/java/rushwood/net/ClientTimeout.java
+++ b/router/src/main/java/rushwood/net/ClientTimeout.java
@@ -1,30 +1,35 @@
 package rushwood.net;
 
 /**
- * Limits how long one client may take, in both cases to {@link #TIMEOUT_NANOS}: to read its answers
- * while output is pending, and to complete a message that it has begun, the startup message
- * included. Times are clock times in nanoseconds.
+ * Limits the time that a client may take to read pending output and to complete a message, the
+ * startup message included, to {@link #TIMEOUT_NANOS} each. Times are clock times in nanoseconds.
  */
 final class ClientTimeout {
-  /** What the client takes too long over. */
+  /** Which timeout has expired. */
   enum Expiry {
     NONE,
+    /** The client does not read its answers. */
     UNREAD_ANSWER,
+    /** The client does not complete a message, or has not sent its startup message. */
     INCOMPLETE_MESSAGE
   }
 
-  // The platform expects the end of such a connection within 3 s.
+  // The platform expects such a connection to be closed within 3 s.
   private static final long TIMEOUT_NANOS = 2_400_000_000L;
 
   private long lastActivity;
-  private long incompleteSince; // when the bytes began that make no whole message yet
+  private long incompleteSince; // start of the current incomplete message
 
   ClientTimeout(long acceptedAt) {
     lastActivity = acceptedAt;
     incompleteSince = acceptedAt;
   }
 
-  /** Bytes came; {@code isContinuation} if a part of a message was there before. */
+  /**
+   * Bytes were read from the client.
+   *
+   * @param isContinuation whether a message was incomplete before, or the startup message is due
+   */
   void bytesRead(long now, boolean isContinuation) {
     lastActivity = now;
     if (!isContinuation) {
@@ -32,7 +37,11 @@
     }
   }
 
-  /** Bytes were written; {@code isStartingUp} if the startup message is still due. */
+  /**
+   * Bytes were written to the client.
+   *
+   * @param isStartingUp whether the startup message has not been answered yet
+   */
   void bytesWritten(long now, boolean isStartingUp) {
     lastActivity = now;
     if (!isStartingUp) {
@@ -40,13 +49,18 @@
     }
   }
 
-  /** What has taken too long, as the channel is writable and a message incomplete or not. */
+  /**
+   * Returns the timeout that has expired, or {@link Expiry#NONE}.
+   *
+   * @param isWritable whether the channel is writable; if not, the client has answers to read
+   * @param hasIncompleteMessage whether the startup message or the rest of a message is due
+   */
   Expiry check(long now, boolean isWritable, boolean hasIncompleteMessage) {
-    long oldest = now - TIMEOUT_NANOS;
-    if (!isWritable && lastActivity <= oldest) {
+    long latestExpired = now - TIMEOUT_NANOS;
+    if (!isWritable && lastActivity <= latestExpired) {
       return Expiry.UNREAD_ANSWER;
     }
-    return hasIncompleteMessage && incompleteSince <= oldest
+    return hasIncompleteMessage && incompleteSince <= latestExpired
         ? Expiry.INCOMPLETE_MESSAGE
         : Expiry.NONE;
   }
--- a/router/src/main/java/rushwood/net/ConnectionLimiter.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimiter.java
@@ -13,16 +13,16 @@
 import rushwood.protocol.ErrorResponse;
 
 /**
- * Keeps the connections of clients within the descriptor budget: closes and refuses those that
- * {@link ConnectionAdmission} names.
+ * Keeps the number of client connections within the descriptor budget by closing or refusing those
+ * that {@link ConnectionAdmission} selects.
  *
- * <p>Over the limit, nothing is closed for a new connection before what clients have sent is read:
- * {@link #EVICTION_DELAY_NANOS} after the accept. Meanwhile {@link #ACCEPT_MARGIN} connections may
- * exceed the limit, on descriptors of the router's own share; above that margin one is closed at
- * once for each that is accepted.
+ * <p>Over the limit, no connection is closed for a new one until the input that has already arrived
+ * is read, {@link #EVICTION_DELAY_NANOS} after the accept. Until then up to {@link #ACCEPT_MARGIN}
+ * connections may exceed the limit; they use descriptors that are reserved for the router itself.
+ * Above that margin one connection is closed immediately for each that is accepted.
  */
 final class ConnectionLimiter {
-  // Longer than a usual turn of the event loop: by then all sockets have been read once.
+  // Longer than a usual turn of the event loop, so that all sockets have been read once by then.
   private static final long EVICTION_DELAY_NANOS = 1_000_000L;
 
   private static final int ACCEPT_MARGIN = AcceptBatch.MIN_CONNECTIONS;
@@ -46,33 +46,37 @@
     retryAfterNanos = limits.retryAfterNanos();
   }
 
-  /** Takes over how many connections the descriptor budget allows now. */
+  /** Sets the connection limit to what the descriptor budget allows now. */
   void updateLimit() {
     admission.setMaxConnections(descriptorBudget.maxClients(clock.now()));
-    acceptBatch.setRoom(admission.maxConnections() - admission.openConnections());
+    acceptBatch.setRemainingCapacity(admission.maxConnections() - admission.openConnections());
   }
 
-  /** How many connections are accepted at once. */
+  /** Returns the limit on connections accepted per turn, which {@link #updateLimit} adjusts. */
   AcceptBatch acceptBatch() {
     return acceptBatch;
   }
 
-  /** Whether so many connections leave no room for another, not even in the margin. */
-  boolean isAboveMargin(int connections) {
+  /** Returns whether the given number of connections uses up the limit and the accept margin. */
+  boolean isMarginExhausted(int connections) {
     return connections >= admission.maxConnections() + ACCEPT_MARGIN;
   }
 
-  /** Returns whether a new connection may be accepted; closes one for it where that is needed. */
+  /**
+   * Makes room for a new connection, closing another one if the margin is exhausted.
+   *
+   * @return whether the new connection may be accepted
+   */
   boolean makeRoom() {
-    return !isAboveMargin(admission.openConnections()) || closeOneOverLimit();
+    return !isMarginExhausted(admission.openConnections()) || evictOneOverLimit();
   }
 
-  /** The error that tells a client that there are too many connections, and when to come back. */
-  ErrorResponse tooManyConnections() {
+  /** Returns the error for a refused connection, with a Retry-After time if there is one. */
+  ErrorResponse tooManyConnectionsError() {
     return ClientErrors.TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong());
   }
 
-  /** A connection was accepted, perhaps above the limit. */
+  /** A connection was accepted, possibly above the limit. */
   void connectionAccepted() {
     closeIdleBelowLimit();
     if (admission.isOverLimit() && !enforcementScheduled) {
@@ -81,7 +85,7 @@
     }
   }
 
-  /** Closes connections that have been idle for long, where few clients reuse theirs. */
+  /** Closes long-idle connections if many are idle and clients rarely reuse connections. */
   void closeIdleBelowLimit() {
     EvictionDecision decision = admission.decideBelowLimit(clock.now());
     while (decision.action().isClose()) {
@@ -90,7 +94,7 @@
     }
   }
 
-  private boolean closeOneOverLimit() {
+  private boolean evictOneOverLimit() {
     EvictionDecision decision = admission.decideOverLimit(clock.now());
     if (!decision.action().isClose()) {
       return false;
@@ -99,17 +103,17 @@
     return true;
   }
 
-  /** Runs once all that has arrived is read. */
+  /** Runs when all input that had arrived at the time of the accept has been read. */
   private void enforceLimit() {
     enforcementScheduled = false;
-    boolean more = true;
-    while (more) {
-      more = admission.isOverLimit() && endOneOverLimit();
+    boolean hasMore = true;
+    while (hasMore) {
+      hasMore = admission.isOverLimit() && evictOrRefuseOne();
     }
   }
 
-  /** Closes or refuses one connection; returns whether there was one. */
-  private boolean endOneOverLimit() {
+  /** Closes or refuses one connection; returns false if none may be closed or refused now. */
+  private boolean evictOrRefuseOne() {
     EvictionDecision decision = admission.decideOverLimit(clock.now());
     switch (decision.action()) {
       case CLOSE_WITHOUT_FIRST_REQUEST, CLOSE_IDLE -> connectionOf(decision.connection()).evict();
@@ -123,7 +127,7 @@
 
   private void refuse(FrontendConnection connection) {
     counters.increment(Counter.CLIENTS_REFUSED);
-    connection.closeWithError(tooManyConnections());
+    connection.closeWithError(tooManyConnectionsError());
   }
 
   private static FrontendConnection connectionOf(AdmittedConnection admitted) {
--- a/router/src/main/java/rushwood/net/ConnectionLimits.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimits.java
@@ -5,12 +5,12 @@
 import rushwood.overload.DescriptorBudget;
 
 /**
- * What limits the connections of clients.
+ * The limits on client connections.
  *
- * @param admission which connections are kept, and which are closed for others
- * @param descriptorBudget how many descriptors clients may use, beside the connections to hosts
- * @param retryAfterNanos the wait in nanoseconds that a client is told whose connection is refused,
- *     not positive for none
+ * @param admission selects the connections to close or refuse when there are too many
+ * @param descriptorBudget limits how many descriptors client connections may use
+ * @param retryAfterNanos supplies the Retry-After time in nanoseconds for refused connections; zero
+ *     or less means that none is sent
  */
 public record ConnectionLimits(
     ConnectionAdmission admission,
--- a/router/src/main/java/rushwood/net/ConnectionRegistry.java
+++ b/router/src/main/java/rushwood/net/ConnectionRegistry.java
@@ -12,8 +12,8 @@
 import rushwood.overload.DescriptorBudget;
 
 /**
- * The open connections of clients, and their cancel keys. Keeps connection admission and the
- * descriptor budget up to date. A connection that the router has ended is no longer here, but among
+ * The open client connections and their cancel keys. Keeps connection admission and the descriptor
+ * budget up to date. A connection that the router is closing is no longer registered here but in
  * the {@link LingeringConnections}.
  */
 final class ConnectionRegistry {
@@ -24,7 +24,11 @@
   private final Map<Long, FrontendConnection> connectionsByCancelKey = new HashMap<>();
   private int issuedCancelKeys;
 
-  /** With the source of the secret part of cancel keys. */
+  /**
+   * Creates an empty registry.
+   *
+   * @param random the source of the secret part of cancel keys
+   */
   ConnectionRegistry(
       ConnectionAdmission admission, DescriptorBudget descriptorBudget, RandomGenerator random) {
     this.admission = admission;
@@ -32,7 +36,10 @@
     this.random = random;
   }
 
-  /** A key that no other connection has: a process id, here a running number, and a secret. */
+  /**
+   * Returns a unique cancel key: a sequence number in the upper 32 bits, which the protocol calls
+   * the process ID, and a random secret in the lower 32 bits.
+   */
   long nextCancelKey() {
     issuedCancelKeys++;
     long secret = Integer.toUnsignedLong(random.nextInt());
@@ -40,7 +47,9 @@
   }
 
   /**
-   * Adds a new connection, whose client has sent nothing yet; what it does is reported from now on.
+   * Adds a connection that was just accepted and admits it.
+   *
+   * @return the reporter of its state
    */
   AdmissionReporter add(FrontendConnection connection, long now) {
     connections.add(connection);
@@ -49,7 +58,11 @@
     return new AdmissionReporter(admission, admission.admit(connection, now));
   }
 
-  /** Returns whether the connection was open until now. */
+  /**
+   * Removes a connection.
+   *
+   * @return false if it was not registered
+   */
   boolean remove(FrontendConnection connection, AdmittedConnection admitted) {
     if (!connections.remove(connection)) {
       return false;
@@ -68,8 +81,11 @@
     return Optional.ofNullable(connectionsByCancelKey.get(cancelKey));
   }
 
-  /** A copy, in the order in which they were accepted: connections may be removed meanwhile. */
-  List<FrontendConnection> list() {
+  /**
+   * Returns a copy of the connections in the order in which they were accepted. Connections may be
+   * removed while the copy is iterated over.
+   */
+  List<FrontendConnection> snapshot() {
     return List.copyOf(connections);
   }
 
--- a/router/src/main/java/rushwood/net/FrontendConnection.java
+++ b/router/src/main/java/rushwood/net/FrontendConnection.java
@@ -15,14 +15,13 @@
 import rushwood.protocol.SqlStatement;
 
 /**
- * The connection of a client: the channel handler that reads and writes for a {@link
- * FrontendProtocol}. An {@link InputLimit} and a {@link ClientTimeout} limit what the client may
- * send and how long it may take, its statements go through a {@link RequestSubmitter}, and an
- * {@link AdmissionReporter} reports what the connection does. Created on the event loop of its
- * channel and used on no other thread.
+ * A client connection: the channel handler that passes input to a {@link FrontendProtocol} and
+ * writes its output. An {@link InputLimit} limits how much the client may send and a {@link
+ * ClientTimeout} how long it may take. Statements are submitted through a {@link RequestSubmitter},
+ * and an {@link AdmissionReporter} reports the state of the connection. Created and used only on
+ * the event loop of its channel.
  */
 final class FrontendConnection extends LingeringClose implements FrontendCallbacks {
-
   private final EventLoopClock clock;
   private final Counters counters;
   private final ConnectionRegistry registry;
@@ -33,11 +32,16 @@
   private final FrontendProtocol protocol;
   private final long cancelKey;
   private final AdmissionReporter admissionReporter;
-  private final long acceptedInTurn;
+  private final long acceptTurnNumber;
   private final long earliestArrivalAtAccept;
   private boolean resumeScheduled;
 
-  /** With parts of its own ({@code submitter}, {@code inputLimit}), and those shared by all. */
+  /**
+   * Creates the handler and registers the connection.
+   *
+   * @param submitter used by this connection only
+   * @param inputLimit used by this connection only
+   */
   FrontendConnection(
       Channel channel,
       EventLoopClock clock,
@@ -54,7 +58,7 @@
     this.submitter = submitter;
     this.inputLimit = inputLimit;
     cancelKey = registry.nextCancelKey();
-    acceptedInTurn = clock.turnNumber();
+    acceptTurnNumber = clock.turnNumber();
     earliestArrivalAtAccept = clock.earliestArrival();
     timeout = new ClientTimeout(clock.now());
     protocol = new FrontendProtocol(channel.alloc(), this);
@@ -81,14 +85,15 @@
     resumeLater();
   }
 
-  /** Whether the client is slowed down, or has to read its answers first. */
+  /** Returns whether the client is slowed down or has to read its answers first. */
   private boolean isProcessingPaused() {
     return submitter.isPaused() || !channel.isWritable();
   }
 
   /**
-   * Input is processed in a later turn than it is read, so that the end of the connection is
-   * noticed first if it has arrived too: then nobody waits for an answer.
+   * Processes input in a separate task of the event loop, after it was read. A disconnect that
+   * arrived right behind the input is thus noticed first, and the input is not processed because no
+   * client waits for an answer.
    */
   @Override
   public void resumeLater() {
@@ -101,7 +106,7 @@
   private void resume() {
     resumeScheduled = false;
     if (!counters.runSafely(this::processInput)) {
-      channel.close(); // its buffers must not stay until the client sends more
+      channel.close(); // otherwise its buffers would be held until the client sends more
     }
   }
 
@@ -127,7 +132,7 @@
     }
   }
 
-  /** Counts what is held for this client: unread input, and the pending request. */
+  /** Accounts for the bytes held for this client: unread input and the pending request. */
   private void updateHeldBytes() {
     inputLimit.setHeldBytes(isOpen() ? protocol.unreadBytes() + pendingRequestBytes() : 0);
   }
@@ -145,15 +150,15 @@
   }
 
   /**
-   * No further statement is processed until the client has read its answers, as those it does not
-   * read would fill the memory.
+   * Resumes processing when the client has read its answers. While the channel is not writable, no
+   * further statement is processed because unread answers would fill the memory.
    */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     resumeLater();
   }
 
-  /** Closes the connection if the client takes too long to read, or to complete a message. */
+  /** Closes the connection if the client takes too long to read or to complete a message. */
   void checkTimeouts() {
     switch (timeout.check(clock.now(), channel.isWritable(), protocol.hasIncompleteMessage())) {
       case UNREAD_ANSWER -> channel.close();
@@ -172,29 +177,30 @@
 
   @Override
   public void submit(ByteBuf text) throws ProtocolException {
-    SqlStatement statement = submitter.accept(text);
+    SqlStatement statement = submitter.parseAndValidate(text);
     admissionReporter.requestSubmitted();
     submitter.submit(statement, text.readableBytes(), earliestArrival(), protocol);
   }
 
   /**
-   * When a statement that is processed now may have been sent at the earliest. What comes with a
-   * new connection is read a turn after the connection was accepted.
+   * Returns the earliest time at which the current statement may have been sent. A statement that
+   * arrived together with its connection is read one turn after the accept, so the time determined
+   * at the accept applies to it.
    */
   private long earliestArrival() {
-    boolean isNew = clock.turnNumber() - acceptedInTurn <= 1;
+    boolean isNew = clock.turnNumber() - acceptTurnNumber <= 1;
     return isNew ? earliestArrivalAtAccept : clock.earliestArrival();
   }
 
   @Override
   public int writeCounters(ByteBuf out) {
-    int[] rows = new int[1];
+    int[] rowCount = new int[1];
     counters.forEach(
         (name, value) -> {
           MessageWriter.writeDataRow(out, name, Long.toString(value));
-          rows[0]++;
+          rowCount[0]++;
         });
-    return rows[0];
+    return rowCount[0];
   }
 
   @Override
@@ -209,8 +215,8 @@
   }
 
   @Override
-  public void cancelRequest(long otherKey) {
-    registry.findByCancelKey(otherKey).ifPresent(FrontendConnection::cancelPendingRequest);
+  public void cancelRequest(long targetCancelKey) {
+    registry.findByCancelKey(targetCancelKey).ifPresent(FrontendConnection::cancelPendingRequest);
   }
 
   private void cancelPendingRequest() {
@@ -228,7 +234,7 @@
   @Override
   public void write(ByteBuf out) {
     timeout.bytesWritten(clock.now(), protocol.isStartingUp());
-    admissionReporter.written(protocol.isStartingUp());
+    admissionReporter.bytesWritten(protocol.isStartingUp());
     channel.writeAndFlush(out);
     updateHeldBytes();
     reportState();
@@ -242,28 +248,28 @@
     admissionReporter.retryAfterAnnounced();
   }
 
-  /** Closes the connection to make room for another. */
+  /** Closes the connection to make room for others. */
   void evict() {
     counters.increment(Counter.CLIENTS_EVICTED);
-    if (!admissionReporter.isAnswered()) {
+    if (!admissionReporter.hasSentAnswer()) {
       counters.increment(Counter.CLIENTS_EVICTED_UNANSWERED);
     }
     close();
   }
 
-  /** Closes the connection as soon as it has no request. */
+  /** Closes the connection as soon as it is idle. */
   void drain() {
     protocol.drain();
   }
 
-  /** Sends a fatal error, and closes the connection. */
+  /** Sends a fatal error and closes the connection. */
   void closeWithError(ErrorResponse error) {
     protocol.closeWithError(error);
   }
 
   /**
-   * Ends the connection from the router's side. From now on it has no place in connection
-   * admission, and nothing that the client sends is taken for a statement.
+   * Closes the connection once everything is written. From now on it does not count in connection
+   * admission, and its input is dropped.
    */
   @Override
   public void close() {
@@ -279,7 +285,7 @@
   }
 
   private void unregister() {
-    if (registry.remove(this, admissionReporter.admitted())) {
+    if (registry.remove(this, admissionReporter.admittedConnection())) {
       counters.increment(Counter.CLIENTS_CLOSED);
       updateHeldBytes();
       protocol.connectionClosed();
--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -19,27 +19,32 @@
 import rushwood.protocol.MessageWriter;
 
 /**
- * Accepts the connections of clients, closes those that take too long, and ends all of them on
- * shutdown. Belongs to the event loop of its channels; initializes each accepted channel.
+ * Accepts or refuses client connections, closes those that time out, and closes all of them on
+ * shutdown. Netty calls it to initialize each channel that the listener accepts. Used only on the
+ * event loop of its channels.
  *
- * <p>The first of these cases holds for a new connection:
+ * <p>The first matching rule applies to a new connection:
  *
  * <ol>
- *   <li>The router drains: refused with an error, or closed at once if too many linger already.
- *   <li>The {@link ConnectionLimiter} finds or makes room for it: accepted.
- *   <li>Else refused with an error that tells the client when to come back.
+ *   <li>While the router drains, the connection is refused with an error, or closed immediately if
+ *       too many connections, lingering ones included, are still open.
+ *   <li>If the {@link ConnectionLimiter} finds or makes room, the connection is accepted.
+ *   <li>Otherwise it is refused with an error that carries a Retry-After time, if there is one.
  * </ol>
  */
 public final class FrontendServer extends ChannelInitializer<Channel> {
-  /** How many connections the kernel queues for the router while the process is suspended. */
+  /** Connections that the kernel queues until the router accepts them, e.g. after a pause. */
   public static final int LISTEN_BACKLOG = 512;
 
   private static final long TIMEOUT_CHECK_INTERVAL_NANOS = 200_000_000L;
 
-  // A channel is read until nothing is left: the end of a connection that arrived behind a
-  // statement is seen before the statement is sent to a host. 16 reads of up to 64 KiB a turn are
-  // Netty's default.
+  // Netty's default, with reads of up to 64 KiB.
   private static final int MAX_READS_PER_TURN = 16;
+
+  /**
+   * Reads a channel until no input is left, so that a disconnect that arrived behind a statement is
+   * noticed before the statement is sent to a host.
+   */
   private static final RecvByteBufAllocator READ_UNTIL_EMPTY =
       new AdaptiveRecvByteBufAllocator()
           .respectMaybeMoreData(false)
@@ -60,7 +65,7 @@
   /**
    * Creates a server without connections and starts its timeout checks.
    *
-   * @param requestClasses the classes that statements may name
+   * @param requestClasses the request classes that statements may name
    * @param random the source of the secret part of cancel keys
    */
   public FrontendServer(
@@ -83,10 +88,13 @@
     checkTimeouts();
   }
 
-  /** Closes connections with an overdue message or unread output, which would use up the limit. */
+  /**
+   * Closes connections that timed out and would otherwise use up the connection limit, and updates
+   * that limit. Reschedules itself.
+   */
   private void checkTimeouts() {
     timers.schedule(clock.now() + TIMEOUT_CHECK_INTERVAL_NANOS, this::checkTimeouts);
-    registry.list().stream()
+    registry.snapshot().stream()
         .filter(connection -> !counters.runSafely(connection::checkTimeouts))
         .forEach(connection -> connection.channel.close());
     lingeringConnections.checkDeadlines();
@@ -103,23 +111,23 @@
     } else if (limiter.makeRoom()) {
       accept(channel);
     } else {
-      refuse(channel, limiter.tooManyConnections());
+      refuse(channel, limiter.tooManyConnectionsError());
     }
   }
 
   private void refuseWhileDraining(Channel channel) {
-    if (limiter.isAboveMargin(openConnections())) {
+    if (limiter.isMarginExhausted(openConnections())) {
       channel.close();
     } else {
       refuse(channel, ClientErrors.SHUTTING_DOWN);
     }
   }
 
-  /** Lingers, so that the client can read the reason. */
-  private void refuse(Channel channel, ErrorResponse reason) {
+  /** Sends the error and lets the connection linger, so that the client can read it. */
+  private void refuse(Channel channel, ErrorResponse error) {
     counters.increment(Counter.CLIENTS_REFUSED);
     ByteBuf out = channel.alloc().buffer(128);
-    MessageWriter.writeErrorResponse(out, reason);
+    MessageWriter.writeErrorResponse(out, error);
     LingeringClose refused = new LingeringClose(channel);
     channel.pipeline().addLast(refused);
     channel.write(out);
@@ -150,31 +158,37 @@
         new InputLimit(statementMemory));
   }
 
-  /** What the listener has to use, so that it accepts as many at once as there is room for. */
+  /**
+   * Returns the allocator that the listening channel has to use; it limits how many connections are
+   * accepted per turn.
+   */
   public RecvByteBufAllocator acceptAllocator() {
     return limiter.acceptBatch().allocator();
   }
 
-  /** Connections that use a descriptor, those that linger included. */
+  /** Returns the number of client connections that use a descriptor, lingering ones included. */
   public int openConnections() {
     return registry.size() + lingeringConnections.size();
   }
 
-  /** Shutdown is near: a client whose connection is closed now can't open another one here. */
+  /**
+   * Announces shutdown. From now on idle connections are not closed to make room for others because
+   * their clients could not reconnect to this router.
+   */
   public void shuttingDown() {
     admission.startShutdown();
   }
 
-  /** Closes each connection as soon as it has no request, and refuses new ones. */
+  /** Closes each connection as soon as it is idle, and refuses new ones. */
   public void drain() {
     draining = true;
     lingeringConnections.removeLimit();
-    registry.list().forEach(FrontendConnection::drain);
+    registry.snapshot().forEach(FrontendConnection::drain);
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   public void close() {
-    registry.list().forEach(connection -> connection.channel.close());
+    registry.snapshot().forEach(connection -> connection.channel.close());
     lingeringConnections.closeAll();
   }
 }
--- a/router/src/main/java/rushwood/net/InputLimit.java
+++ b/router/src/main/java/rushwood/net/InputLimit.java
@@ -6,22 +6,22 @@
 import rushwood.protocol.FrontendProtocol;
 
 /**
- * Limits the unread input of one client, and counts what is held for it in the {@link
- * StatementMemory}.
+ * Limits the unread input of one client, and counts the bytes held for that client in the shared
+ * {@link StatementMemory}.
  *
- * <p>Input is read even while nothing of it can be processed, since the end of the connection comes
- * behind it and has to be noticed. The limits in bytes:
+ * <p>Input is read from the socket even while it cannot be processed, because a disconnect is only
+ * noticed once all input before it has been read. The limits on unread input are:
  *
  * <ul>
  *   <li>{@link #MAX_PIPELINED_BYTES} while the client has to wait: its request is pending, it is
  *       slowed down, or it has to read its answers first;
- *   <li>{@link #MAX_PIPELINED_BYTES_LOW_MEMORY} while memory is low and the client has to wait, and
- *       for all clients while it is exhausted.
+ *   <li>{@link #MAX_PIPELINED_BYTES_LOW_MEMORY} while the client has to wait and statement memory
+ *       is low, and for all clients while statement memory is exhausted.
  * </ul>
  *
- * <p>The excess and all input behind it is dropped, and the connection ends with an error behind
- * the answer that is due. A pending request is never refused for want of memory; an incomplete
- * message above the second limit is, once memory is exhausted.
+ * <p>Input that exceeds the limit and all input after it is dropped, and the connection is closed
+ * with an error once the pending request is answered. A pending request is never refused for lack
+ * of memory, but an incomplete message above the second limit is refused while memory is exhausted.
  */
 final class InputLimit {
   // Eight statements of the maximum length.
@@ -29,14 +29,19 @@
   private static final int MAX_PIPELINED_BYTES_LOW_MEMORY = 64 << 10;
 
   private final StatementMemory statementMemory;
-  private int countedBytes; // what this client has added to the statement memory
+  private int countedBytes; // this client's share of the statement memory
   private boolean exceeded;
 
   InputLimit(StatementMemory statementMemory) {
     this.statementMemory = statementMemory;
   }
 
-  /** Input is about to be kept; {@code mustWait} if it cannot be processed now. */
+  /**
+   * Checks the limits for input that has just arrived.
+   *
+   * @param unreadBytes all unread input of the client, including the new input
+   * @param mustWait whether the input cannot be processed now
+   */
   void inputReceived(int unreadBytes, boolean mustWait) {
     exceeded |= exceedsLimit(unreadBytes, mustWait);
   }
@@ -49,12 +54,12 @@
     return isMemoryShort && unreadBytes > MAX_PIPELINED_BYTES_LOW_MEMORY;
   }
 
-  /** Whether input is dropped: the client has exceeded the limit, now or before. */
+  /** Returns whether the client has ever exceeded a limit; its input has to be dropped then. */
   boolean isExceeded() {
     return exceeded;
   }
 
-  /** The error with which the connection has to end now, if it has to. */
+  /** Returns the error with which the connection has to be closed now, or null. */
   @Nullable ErrorResponse violation(FrontendProtocol protocol) {
     if (exceeded && !protocol.hasPendingRequest()) {
       return ClientErrors.TOO_MUCH_PIPELINED;
@@ -66,7 +71,7 @@
     return holdsTooMuch ? ClientErrors.OUT_OF_MEMORY : null;
   }
 
-  /** Counts what is held for this client now: unread input and the pending request. */
+  /** Sets the number of bytes held for this client: its unread input and pending request. */
   void setHeldBytes(int heldBytes) {
     statementMemory.adjust(heldBytes - countedBytes);
     countedBytes = heldBytes;
--- a/router/src/main/java/rushwood/net/LingeringClose.java
+++ b/router/src/main/java/rushwood/net/LingeringClose.java
@@ -8,15 +8,16 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * A connection that can be closed without losing the last answer. A socket that is closed while
- * unread bytes are in its receive buffer is reset, and the peer may lose what it has not read yet.
- * So the output is shut down once everything is written, and input is read and dropped until the
- * peer closes its side, for a limited time and up to a limited number of bytes.
+ * A channel handler that can close its connection without losing the last answer. A socket that is
+ * closed while its receive buffer holds unread bytes is reset, and the peer may lose output that it
+ * has not read yet. Lingering therefore shuts down the output once everything is written, and then
+ * reads and drops input until the peer closes its side, for a limited time and up to a limited
+ * number of bytes.
  */
 class LingeringClose extends ChannelInboundHandlerAdapter {
-  // For the peer to read what is written.
+  // Time for the peer to read the pending output.
   private static final long WRITE_TIMEOUT_NANOS = 2_400_000_000L;
-  // Then, for the peer to close its side: many round trips.
+  // Time for the peer to close its side after that: many round trips.
   private static final long LINGER_NANOS = 1_000_000_000L;
   private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
@@ -24,18 +25,23 @@
   private long deadline;
   private int discardedBytes;
   private boolean lingering;
-  private boolean outputShutDown; // since the last check of the deadline
+  private boolean outputShutDown; // cleared once the deadline has been extended for it
 
   LingeringClose(Channel channel) {
     this.channel = channel;
   }
 
-  /** Whether the router has ended the connection: input is dropped from then on. */
+  /** Returns whether the router is closing the connection; input is dropped from then on. */
   final boolean isLingering() {
     return lingering;
   }
 
-  /** Ends the connection behind what has been written; {@link #checkDeadline} limits the time. */
+  /**
+   * Shuts down the output once everything written so far has been flushed. The caller has to call
+   * {@link #checkDeadline} periodically from then on.
+   *
+   * @param now clock time in nanoseconds
+   */
   final void startLingering(long now) {
     lingering = true;
     deadline = now + WRITE_TIMEOUT_NANOS;
@@ -45,8 +51,8 @@
         .addListener(written -> shutDownOutput(written.isSuccess()));
   }
 
-  private void shutDownOutput(boolean isWritten) {
-    if (isWritten && channel instanceof DuplexChannel duplex) {
+  private void shutDownOutput(boolean isFlushed) {
+    if (isFlushed && channel instanceof DuplexChannel duplex) {
       outputShutDown = true;
       duplex.shutdownOutput();
     } else {
@@ -54,7 +60,7 @@
     }
   }
 
-  /** Closes the channel if its time is over; call it every now and then while it lingers. */
+  /** Closes the channel if its deadline has passed. */
   final void checkDeadline(long now) {
     if (outputShutDown) {
       outputShutDown = false;
@@ -65,7 +71,7 @@
     }
   }
 
-  /** Drops input, and releases it. */
+  /** Releases the input without processing it; closes the channel if it received too much. */
   final void discard(ByteBuf in) {
     discardedBytes += in.readableBytes();
     in.release();
--- a/router/src/main/java/rushwood/net/LingeringConnections.java
+++ b/router/src/main/java/rushwood/net/LingeringConnections.java
@@ -6,9 +6,9 @@
 import rushwood.dispatch.EventLoopClock;
 
 /**
- * The connections that the router has ended and that are not closed yet. They use descriptors of
- * the router's own share, so only a few may linger: of more, the one that has had the most time is
- * closed.
+ * The connections that the router is closing and whose channels are still open. They use
+ * descriptors that are reserved for the router itself, so only {@link #MAX_LINGERING} may linger at
+ * once; the oldest one is closed to make room for another.
  */
 final class LingeringConnections {
   private static final int MAX_LINGERING = 4;
@@ -21,7 +21,7 @@
     this.clock = clock;
   }
 
-  /** Ends a connection from the router's side. */
+  /** Starts to close the connection and keeps it until its channel is closed. */
   void add(LingeringClose connection) {
     if (limited && connections.size() >= MAX_LINGERING) {
       connections.iterator().next().channel.close();
@@ -31,12 +31,12 @@
     connection.channel.closeFuture().addListener(closed -> connections.remove(connection));
   }
 
-  /** During shutdown no descriptors are needed for new connections: any number may linger. */
+  /** Lets any number linger. For shutdown, when new connections need no descriptors. */
   void removeLimit() {
     limited = false;
   }
 
-  /** Closes those whose time is over. */
+  /** Closes the connections whose deadline has passed. */
   void checkDeadlines() {
     List.copyOf(connections).forEach(connection -> connection.checkDeadline(clock.now()));
   }
--- a/router/src/main/java/rushwood/net/RejectionThrottle.java
+++ b/router/src/main/java/rushwood/net/RejectionThrottle.java
@@ -4,17 +4,16 @@
 import rushwood.dispatch.TimerQueue;
 
 /**
- * Slows down a client that sends one statement after the other that is not accepted, by how many
- * were rejected in a row:
+ * Slows down a client whose statements are rejected, depending on the number of consecutive
+ * rejections:
  *
  * <ul>
- *   <li>up to {@link #REJECTIONS_BEFORE_PAUSE}: nothing;
- *   <li>more: its input is paused for {@link #PAUSE_NANOS} after each;
- *   <li>more than {@link #MAX_REJECTIONS}: its connection has to be closed.
+ *   <li>up to {@link #REJECTIONS_BEFORE_PAUSE}: no effect;
+ *   <li>more: input is paused for {@link #PAUSE_NANOS} after each rejection;
+ *   <li>more than {@link #MAX_REJECTIONS}: the connection has to be closed.
  * </ul>
  *
- * <p>Guards against clients that repeat a statement as soon as it is rejected; others notice
- * nothing.
+ * <p>Protects the router from clients that resend a statement as soon as it is rejected.
  */
 final class RejectionThrottle {
   private static final int REJECTIONS_BEFORE_PAUSE = 3;
@@ -23,7 +22,7 @@
 
   private final EventLoopClock clock;
   private final TimerQueue timers;
-  private int rejectionsInARow;
+  private int consecutiveRejections;
   private boolean paused;
 
   RejectionThrottle(EventLoopClock clock, TimerQueue timers) {
@@ -31,15 +30,19 @@
     this.timers = timers;
   }
 
-  /** A statement was accepted. A pause goes on. */
+  /** Resets the count after a statement was accepted. Does not end a pause. */
   void reset() {
-    rejectionsInARow = 0;
+    consecutiveRejections = 0;
   }
 
-  /** A statement was rejected; {@code resume} runs at the end of a pause, if there is one. */
+  /**
+   * Records that a statement was rejected.
+   *
+   * @param resume runs at the end of the pause if this rejection causes one
+   */
   void recordRejection(Runnable resume) {
-    rejectionsInARow++;
-    if (rejectionsInARow > REJECTIONS_BEFORE_PAUSE) {
+    consecutiveRejections++;
+    if (consecutiveRejections > REJECTIONS_BEFORE_PAUSE) {
       paused = true;
       timers.schedule(clock.now() + PAUSE_NANOS, () -> endPause(resume));
     }
@@ -50,13 +53,13 @@
     resume.run();
   }
 
-  /** Whether the client's input is not to be processed now. */
+  /** Returns whether the client's input must not be processed now. */
   boolean isPaused() {
     return paused;
   }
 
-  /** Whether the connection has to be closed. */
-  boolean isExceeded() {
-    return rejectionsInARow > MAX_REJECTIONS;
+  /** Returns whether the connection has to be closed. */
+  boolean hasTooManyRejections() {
+    return consecutiveRejections > MAX_REJECTIONS;
   }
 }
--- a/router/src/main/java/rushwood/net/RequestSubmitter.java
+++ b/router/src/main/java/rushwood/net/RequestSubmitter.java
@@ -14,57 +14,61 @@
 import rushwood.protocol.SqlStatementParser;
 
 /**
- * Checks the statements of one client and submits them to the dispatcher as requests, one after the
- * other. A client whose statements are not acceptable is slowed down by a {@link
- * RejectionThrottle}.
+ * Validates the statements of one client and submits them to the dispatcher as requests, one at a
+ * time. A {@link RejectionThrottle} slows down a client whose statements are rejected.
  */
 final class RequestSubmitter {
   private final RequestDispatcher dispatcher;
   private final List<RequestClass> requestClasses;
   private final StatementMemory statementMemory;
   private final ConnectionAdmission admission;
-  private final RejectionThrottle rejections;
+  private final RejectionThrottle rejectionThrottle;
   private @Nullable RequestId lastRequestId;
   private int lastRequestBytes;
 
-  /** Creates the submitter of a client that may name the given classes. */
+  /**
+   * Creates the submitter of one client.
+   *
+   * @param requestClasses the request classes that statements may name
+   * @param rejectionThrottle used by this client only
+   */
   RequestSubmitter(
       RequestDispatcher dispatcher,
       List<RequestClass> requestClasses,
       StatementMemory statementMemory,
       ConnectionAdmission admission,
-      RejectionThrottle rejections) {
+      RejectionThrottle rejectionThrottle) {
     this.dispatcher = dispatcher;
     this.requestClasses = requestClasses;
     this.statementMemory = statementMemory;
     this.admission = admission;
-    this.rejections = rejections;
+    this.rejectionThrottle = rejectionThrottle;
   }
 
-  /** Whether requests can be served. */
+  /** Returns whether requests can be served. */
   boolean isReady() {
     return dispatcher.hasEndpoints();
   }
 
   /**
-   * Parses a statement for {@link #submit}, which has to follow.
+   * Parses and validates a statement. The caller has to pass the result to {@link #submit}.
    *
-   * @throws ProtocolException if it cannot be parsed, memory is short, its id is in use, or its
-   *     group is unknown
+   * @throws ProtocolException if the statement cannot be parsed, there is no statement memory left
+   *     for it, its request ID is in use, or its group is unknown
    */
-  SqlStatement accept(ByteBuf text) throws ProtocolException {
+  SqlStatement parseAndValidate(ByteBuf text) throws ProtocolException {
     SqlStatement statement = SqlStatementParser.parse(text, requestClasses);
     try {
-      checkAcceptable(statement);
+      validate(statement);
     } catch (ProtocolException rejection) {
       statement.release();
       throw rejection;
     }
-    rejections.reset();
+    rejectionThrottle.reset();
     return statement;
   }
 
-  private void checkAcceptable(SqlStatement statement) throws ProtocolException {
+  private void validate(SqlStatement statement) throws ProtocolException {
     if (!statementMemory.hasRoomFor(statement.text().readableBytes())) {
       throw ProtocolException.rejected(
           SqlState.TOO_MANY_CONNECTIONS, "memory is short: trying again is harmless");
@@ -78,23 +82,25 @@
   }
 
   /**
-   * Submits an accepted statement; its answer may come within this call.
+   * Submits a validated statement. The responder may be called before this method returns.
    *
-   * @param earliestArrival when it may have been sent at the earliest
+   * @param textBytes length of the statement's text
+   * @param earliestArrival earliest clock time in nanoseconds at which the client may have sent the
+   *     statement
    */
   void submit(
-      SqlStatement statement, int messageBytes, long earliestArrival, ClientResponder responder) {
+      SqlStatement statement, int textBytes, long earliestArrival, ClientResponder responder) {
     admission.recordRequest(lastRequestId != null);
     lastRequestId = statement.id();
-    lastRequestBytes = messageBytes;
+    lastRequestBytes = textBytes;
     dispatcher.requestReceived(statement, earliestArrival, responder);
   }
 
   /**
-   * A statement or another message was rejected. Slows the client down, unless the rejection is for
-   * the router's own state.
+   * Slows the client down after a statement or another message was rejected, unless the state of
+   * the router caused the rejection.
    *
-   * @param resume runs at the end of a pause, if there is one
+   * @param resume runs at the end of the pause if this rejection causes one
    */
   void statementRejected(ProtocolException rejection, Runnable resume) {
     String sqlState = rejection.sqlState();
@@ -102,26 +108,26 @@
         sqlState.equals(SqlState.TOO_MANY_CONNECTIONS)
             || sqlState.equals(SqlState.CANNOT_CONNECT_NOW);
     if (!isCausedByRouter) {
-      rejections.recordRejection(resume);
+      rejectionThrottle.recordRejection(resume);
     }
   }
 
-  /** Whether the client is slowed down now. */
+  /** Returns whether the client's input must not be processed now. */
   boolean isPaused() {
-    return rejections.isPaused();
+    return rejectionThrottle.isPaused();
   }
 
-  /** Whether so many statements were rejected that the connection has to be closed. */
+  /** Returns whether the connection has to be closed because of rejected statements. */
   boolean hasTooManyRejections() {
-    return rejections.isExceeded();
+    return rejectionThrottle.hasTooManyRejections();
   }
 
-  /** The length of the text of the last request, in bytes. */
+  /** Returns the length in bytes of the last request's text, or 0 before the first request. */
   int lastRequestBytes() {
     return lastRequestBytes;
   }
 
-  /** The client waits for no answer any more; has no effect without a request in flight. */
+  /** The client no longer waits for an answer. Has no effect if no request is in flight. */
   void clientDisconnected() {
     if (lastRequestId != null) {
       dispatcher.clientDisconnected(lastRequestId);
--- a/router/src/main/java/rushwood/net/StatementMemory.java
+++ b/router/src/main/java/rushwood/net/StatementMemory.java
@@ -1,32 +1,31 @@
 package rushwood.net;
 
 /**
- * Counts the bytes of statements that are held for all clients: what they sent ahead of their
- * answers, and the requests that are pending. {@link InputLimit} and {@link RequestSubmitter} ask
- * it what they may still hold.
+ * Counts the bytes of statements held for all clients: unread input and pending requests. {@link
+ * InputLimit} and {@link RequestSubmitter} use it to limit the memory for statements.
  */
 final class StatementMemory {
-  private static final long MAX_BYTES = 16 << 20; // a third of the memory for buffers
+  private static final long MAX_BYTES = 16 << 20; // less than half of the memory for buffers
   private static final long LOW_MEMORY_BYTES = MAX_BYTES / 2;
 
   private long usedBytes;
 
-  /** Adds to the bytes in use, or subtracts from them. */
+  /** Adds to the number of bytes in use; a negative value subtracts. */
   void adjust(int bytes) {
     usedBytes += bytes;
   }
 
-  /** Whether clients have to hold back statements sent ahead of their answers. */
+  /** Returns whether the lower limit on pipelined input applies. */
   boolean isLow() {
     return usedBytes > LOW_MEMORY_BYTES;
   }
 
-  /** Whether more is in use than there should be. */
+  /** Returns whether more than the maximum is in use. */
   boolean isExhausted() {
     return usedBytes > MAX_BYTES;
   }
 
-  /** Whether a request of that size may become pending. */
+  /** Returns whether a request of the given size may become pending. */
   boolean hasRoomFor(int bytes) {
     return usedBytes + bytes <= MAX_BYTES;
   }
--- a/router/src/main/java/rushwood/net/WarmupBackend.java
+++ b/router/src/main/java/rushwood/net/WarmupBackend.java
@@ -8,27 +8,29 @@
 import rushwood.protocol.SqlState;
 
 /**
- * A host during warm-up that answers at once: of ten answers eight are rows, one an error, one that
- * its data is too old.
+ * A simulated host for the warm-up, which answers immediately. Of ten answers, eight are rows, one
+ * is an internal error, and one is the error of a replica whose data is too old.
  */
 public final class WarmupBackend extends WarmupPeer {
   private static final int ANSWER_KINDS = 10;
   private static final int ERROR_KIND = 8;
   private static final int LAGGING_KIND = 9;
   private static final String INTERNAL_ERROR = "XX000";
-  private static final String REPLICA_REPORT = "x0=0,x1=0";
 
-  private final int firstKind;
+  /** Sent as a parameter of each answer and, because a health check reads it there, as the row. */
+  private static final String LOAD_REPORT = "x0=0,x1=0";
+
+  private final int firstAnswerKind;
   private boolean started;
 
   /**
-   * Creates a host for one connection.
+   * Creates the handler of one connection.
    *
-   * @param firstKind the kind of its first answer; with a running number the first answers of many
-   *     connections are of all kinds
+   * @param firstAnswerKind selects the kind of the first answer, modulo the number of kinds; a
+   *     sequence number makes the first answers of many connections cover all kinds
    */
-  public WarmupBackend(int firstKind) {
-    this.firstKind = firstKind;
+  public WarmupBackend(int firstAnswerKind) {
+    this.firstAnswerKind = firstAnswerKind;
   }
 
   @Override
@@ -37,7 +39,7 @@
       return false;
     }
     if (started) {
-      writeAnswer(out, (firstKind + countAnswer()) % ANSWER_KINDS);
+      writeAnswer(out, (firstAnswerKind + countAnswer()) % ANSWER_KINDS);
     } else {
       started = true;
       MessageWriter.writeStartupResponse(out, 0);
@@ -53,7 +55,7 @@
     }
     MessageWriter.writeParameterStatus(out, "part", "replica");
     MessageWriter.writeParameterStatus(out, "caught_up_to", "1");
-    MessageWriter.writeParameterStatus(out, "gauges", REPLICA_REPORT);
+    MessageWriter.writeParameterStatus(out, "gauges", LOAD_REPORT);
     MessageWriter.writeReadyForQuery(out);
   }
 
@@ -63,7 +65,7 @@
 
   private static void writeRow(ByteBuf out) {
     MessageWriter.writeRowDescription(out, "val");
-    MessageWriter.writeDataRow(out, REPLICA_REPORT);
+    MessageWriter.writeDataRow(out, LOAD_REPORT);
     MessageWriter.writeCommandComplete(out, "SELECT 1");
   }
 }
--- a/router/src/main/java/rushwood/net/WarmupClient.java
+++ b/router/src/main/java/rushwood/net/WarmupClient.java
@@ -8,16 +8,19 @@
 import rushwood.protocol.MessageWriter;
 import rushwood.protocol.ProtocolException;
 
-/** A client during warm-up that sends its next statement when the last one is answered. */
+/**
+ * A simulated client for the warm-up, which sends its next statement when the previous one has been
+ * answered.
+ */
 public final class WarmupClient extends WarmupPeer {
   private final Supplier<String> statements;
   private final Runnable reconnect;
 
   /**
-   * Creates a client for one connection.
+   * Creates the handler of one connection.
    *
-   * @param statements called for each statement
-   * @param reconnect called once the connection is closed
+   * @param statements supplies the text of each statement
+   * @param reconnect called when the connection has been closed
    */
   public WarmupClient(Supplier<String> statements, Runnable reconnect) {
     this.statements = statements;
--- a/router/src/main/java/rushwood/net/WarmupPeer.java
+++ b/router/src/main/java/rushwood/net/WarmupPeer.java
@@ -9,17 +9,17 @@
 import rushwood.protocol.ProtocolException;
 
 /**
- * A peer of a router during warm-up, the handler of one channel: answers each message, and closes
- * the connection after a few.
+ * A simulated client or host for the warm-up. The handler of one channel: answers messages, and
+ * closes the connection after a few answers.
  */
 abstract class WarmupPeer extends ChannelInboundHandlerAdapter {
   private static final int MAX_MESSAGE_LENGTH = 1 << 16;
 
-  // Few, so that opening and closing connections is warmed up too: a router that has just started
-  // is sent hundreds at once.
+  // Small, so that opening and closing connections is warmed up too: a router that has just started
+  // receives hundreds of connections at once.
   static final int QUERIES_PER_CONNECTION = 4;
 
-  @SuppressWarnings("NullAway.Init") // channelActive comes before all that use it
+  @SuppressWarnings("NullAway.Init") // set by channelActive before any use
   private MessageReader reader;
 
   private int answers;
@@ -33,9 +33,9 @@
   public void channelRead(ChannelHandlerContext context, Object message) throws ProtocolException {
     reader.feed((ByteBuf) message);
     ByteBuf out = context.alloc().buffer(256);
-    boolean more = true;
-    while (more) {
-      more = handleNextMessage(reader, out);
+    boolean hasMore = true;
+    while (hasMore) {
+      hasMore = handleNextMessage(reader, out);
     }
     reader.releaseIfEmpty();
     ChannelFuture written = context.writeAndFlush(out);
@@ -49,16 +49,20 @@
     reader.close();
   }
 
-  /** The other side closed first. */
+  /** Closes the channel; the usual cause is that the router closed the connection first. */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     context.close();
   }
 
-  /** Reads a message and writes the answer to it; returns whether a whole message was there. */
+  /**
+   * Reads the next message and writes the answer to it, if any.
+   *
+   * @return false if no complete message has been received
+   */
   abstract boolean handleNextMessage(MessageReader input, ByteBuf out) throws ProtocolException;
 
-  /** Counts an answer; returns how many there were before. */
+  /** Counts an answer and returns the number of answers before it. */
   final int countAnswer() {
     return answers++;
   }
--- a/router/src/main/java/rushwood/net/package-info.java
+++ b/router/src/main/java/rushwood/net/package-info.java
@@ -1,12 +1,12 @@
 /**
- * Sockets to clients and hosts: thin Netty handlers around the state machines of {@code
- * rushwood.protocol}, and the limits on what client connections may hold.
+ * Connections to clients and hosts: thin Netty handlers around the state machines of {@code
+ * rushwood.protocol}, and the limits on the number, memory and time of client connections.
  *
- * <p>{@link rushwood.net.FrontendServer} accepts clients, each a {@link
+ * <p>{@link rushwood.net.FrontendServer} accepts client connections, each a {@link
  * rushwood.net.FrontendConnection}, and {@link rushwood.net.ConnectionLimiter} closes some of them
- * for others; {@link rushwood.net.BackendConnector} opens connections to hosts, each a {@link
- * rushwood.net.BackendChannel}. All of it runs on the one event loop of the router: nothing here is
- * thread-safe, and nothing blocks.
+ * when there are too many. {@link rushwood.net.BackendConnector} opens connections to hosts, each a
+ * {@link rushwood.net.BackendChannel}. Everything runs on the single event loop of the router and
+ * is not thread-safe; nothing blocks except {@link rushwood.net.ClientListener#bind}.
  */
 @NullMarked
 package rushwood.net;
--- a/router/src/test/java/rushwood/net/ClientListenerTest.java
+++ b/router/src/test/java/rushwood/net/ClientListenerTest.java
@@ -28,9 +28,12 @@
 import rushwood.overload.DescriptorBudget;
 import rushwood.protocol.TestMessages;
 
-/** The end of a listener at which connections wait to be accepted. */
+/**
+ * Guards against requests that are lost when the listener stops: closing a socket on which
+ * connections are pending resets them. Uses real sockets.
+ */
 class ClientListenerTest {
-  private static final int WAITING = 40;
+  private static final int PENDING_CONNECTIONS = 40;
   private static final int TIMEOUT_MILLIS = 10_000;
 
   private final MultiThreadIoEventLoopGroup group =
@@ -41,14 +44,14 @@
 
   @BeforeEach
   void listen() throws Exception {
-    FakeEventLoop time = new FakeEventLoop();
+    FakeEventLoop loop = new FakeEventLoop();
     DescriptorBudget descriptors = new DescriptorBudget(1000);
     server =
         new FrontendServer(
-            FrontendConnectionTest.createDispatcher(time, descriptors, new PendingPolicy()),
-            time.clock,
-            time.timers,
-            time.counters,
+            FrontendConnectionTest.createDispatcher(loop, descriptors, new PendingPolicy()),
+            loop.clock,
+            loop.timers,
+            loop.counters,
             TestMessages.REQUEST_CLASSES,
             new ConnectionLimits(new ConnectionAdmission(1000, 0), descriptors, () -> 0),
             new SplittableRandom(1));
@@ -73,9 +76,9 @@
     return client;
   }
 
-  /** The kernel has accepted them, and they have sent a request: each is told why it ends. */
+  /** The kernel accepted the connections, and their clients sent requests, before the stop. */
   @Test
-  void connectionsThatWaitAreRefusedWithAnError() throws Exception {
+  void connectionsPendingAtStopAreRefusedWithAnError() throws Exception {
     CountDownLatch draining = new CountDownLatch(1);
     CountDownLatch allSent = new CountDownLatch(1);
     var stopped =
@@ -97,9 +100,9 @@
     assertAllRefused();
   }
 
-  /** The kernel accepts connections until the socket is closed: these are told too. */
+  /** The kernel accepts connections until the socket is closed, in a later turn than the stop. */
   @Test
-  void connectionsOfTheLastMomentAreRefusedWithAnError() throws Exception {
+  void connectionsOpenedWhileStoppingAreRefusedWithAnError() throws Exception {
     CountDownLatch stopCalled = new CountDownLatch(1);
     CountDownLatch allSent = new CountDownLatch(1);
     var stopped =
@@ -122,7 +125,7 @@
   }
 
   private void sendRequests() throws Exception {
-    for (int i = 0; i < WAITING; i++) {
+    for (int i = 0; i < PENDING_CONNECTIONS; i++) {
       connect().getOutputStream().write(concat(startup(), query("SELECT 1")));
     }
   }
@@ -135,7 +138,7 @@
   }
 
   @Test
-  void stoppingTwiceDoesNothing() throws Exception {
+  void secondStopHasNoEffect() throws Exception {
     for (int i = 0; i < 2; i++) {
       group.next().submit(listener::stop).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -146,7 +149,7 @@
   private void awaitStopped() throws Exception {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
     while (!group.next().submit(listener::isStopped).get()) {
-      assertTrue(System.nanoTime() < deadline, "the listener does not stop");
+      assertTrue(System.nanoTime() < deadline, "the listener did not stop in time");
     }
   }
 }
--- a/router/src/test/java/rushwood/net/ClientTimeoutTest.java
+++ b/router/src/test/java/rushwood/net/ClientTimeoutTest.java
@@ -12,30 +12,31 @@
   private final ClientTimeout timeout = new ClientTimeout(ACCEPTED_AT);
 
   @Test
-  void startupMessageIsDueFromTheAccept() {
+  void startupTimeoutCountsFromTheAccept() {
     timeout.bytesRead(ACCEPTED_AT + 1, true);
     assertEquals(Expiry.NONE, timeout.check(ACCEPTED_AT + TIMEOUT_NANOS - 1, true, true));
     assertEquals(Expiry.INCOMPLETE_MESSAGE, timeout.check(ACCEPTED_AT + TIMEOUT_NANOS, true, true));
   }
 
   @Test
-  void restOfAMessageIsDueFromItsFirstBytes() {
+  void messageTimeoutCountsFromItsFirstBytes() {
     long firstBytesAt = ACCEPTED_AT + 2 * TIMEOUT_NANOS;
     timeout.bytesRead(firstBytesAt, false);
     timeout.bytesRead(firstBytesAt + 5, true);
-    long dueAt = firstBytesAt + TIMEOUT_NANOS;
-    assertEquals(Expiry.NONE, timeout.check(dueAt - 1, true, true));
-    assertEquals(Expiry.INCOMPLETE_MESSAGE, timeout.check(dueAt, true, true));
-    assertEquals(Expiry.NONE, timeout.check(dueAt, true, false), "it was completed");
+    long deadline = firstBytesAt + TIMEOUT_NANOS;
+    assertEquals(Expiry.NONE, timeout.check(deadline - 1, true, true));
+    assertEquals(Expiry.INCOMPLETE_MESSAGE, timeout.check(deadline, true, true));
+    assertEquals(
+        Expiry.NONE, timeout.check(deadline, true, false), "the message is complete by now");
   }
 
   @Test
-  void clientThatDoesNotReadIsDueFromTheLastBytes() {
+  void unreadAnswerTimeoutCountsFromTheLastBytes() {
     long writtenAt = ACCEPTED_AT + TIMEOUT_NANOS;
     timeout.bytesWritten(writtenAt, false);
-    long dueAt = writtenAt + TIMEOUT_NANOS;
-    assertEquals(Expiry.NONE, timeout.check(dueAt - 1, false, true));
-    assertEquals(Expiry.UNREAD_ANSWER, timeout.check(dueAt, false, true));
-    assertEquals(Expiry.NONE, timeout.check(dueAt, true, false));
+    long deadline = writtenAt + TIMEOUT_NANOS;
+    assertEquals(Expiry.NONE, timeout.check(deadline - 1, false, true));
+    assertEquals(Expiry.UNREAD_ANSWER, timeout.check(deadline, false, true));
+    assertEquals(Expiry.NONE, timeout.check(deadline, true, false));
   }
 }
--- a/router/src/test/java/rushwood/net/DuplexEmbeddedChannel.java
+++ b/router/src/test/java/rushwood/net/DuplexEmbeddedChannel.java
@@ -5,7 +5,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.channel.socket.DuplexChannel;
 
-/** A channel without a socket whose output can be shut down alone, as that of a TCP connection. */
+/** An embedded channel whose input and output can be shut down separately, like a TCP channel's. */
 final class DuplexEmbeddedChannel extends EmbeddedChannel implements DuplexChannel {
   private boolean inputShutDown;
   private boolean outputShutDown;
--- a/router/src/test/java/rushwood/net/FrontendConnectionTest.java
+++ b/router/src/test/java/rushwood/net/FrontendConnectionTest.java
@@ -35,7 +35,10 @@
 import rushwood.overload.DescriptorBudget;
 import rushwood.protocol.TestMessages;
 
-/** What a client may send, how long it may take, and what connection admission is told of it. */
+/**
+ * Tests the limits on what a client may send and how long it may take, and the connection states
+ * reported to connection admission.
+ */
 class FrontendConnectionTest {
   private static final int MAX_PIPELINED_BYTES = 1 << 20;
   private static final int MAX_PIPELINED_BYTES_LOW_MEMORY = 64 << 10;
@@ -57,12 +60,12 @@
   private EmbeddedChannel channel;
   private FrontendConnection connection;
 
-  /** Leaves every request pending until the test has it answered. */
+  /** A policy that leaves every request pending until the test answers it. */
   static final class PendingPolicy implements RoutingPolicy {
     private PolicyActions actions;
 
-    RoutingPolicy attach(PolicyActions offered) {
-      actions = offered;
+    RoutingPolicy attach(PolicyActions policyActions) {
+      actions = policyActions;
       return this;
     }
 
@@ -94,7 +97,7 @@
     public void timerFired(long now) {}
   }
 
-  /** A dispatcher that knows one host of group 2 and never connects to it. */
+  /** Creates a dispatcher with one host, in group 2, to which it never connects. */
   static RequestDispatcher createDispatcher(
       FakeEventLoop loop, DescriptorBudget descriptors, PendingPolicy policy) {
     ConnectionSettings settings =
@@ -140,7 +143,7 @@
   }
 
   @AfterEach
-  void checkThatNothingIsHeld() {
+  void assertAllResourcesReleased() {
     channel.close();
     assertEquals(0, registry.size());
     assertEquals(0, admission.openConnections());
@@ -165,8 +168,8 @@
     channel.runPendingTasks();
   }
 
-  /** The types of the messages that the client was sent since the last call. */
-  private String received() {
+  /** Returns the types of the messages that were sent to the client since the last call. */
+  private String takeReceivedTypes() {
     StringBuilder types = new StringBuilder();
     for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
       String written = TestMessages.messageTypes(TestMessages.readAndRelease(out));
@@ -177,18 +180,18 @@
 
   private void startSession() {
     send(TestMessages.startup());
-    received();
+    takeReceivedTypes();
   }
 
-  private void expectState(ConnectionState expected) {
+  private void assertOnlyState(ConnectionState expected) {
     for (ConnectionState state : ConnectionState.values()) {
       assertEquals(state == expected ? 1 : 0, admission.openConnections(state), state.name());
     }
   }
 
-  /** Nobody waits for an answer, so the statement must not get as far as a host. */
+  /** No client waits for the answer any more, so the statement must not be sent to a host. */
   @Test
-  void closeIsNoticedBeforeTheStatementInFrontOfIt() {
+  void statementIsDroppedIfTheConnectionIsClosedBehindIt() {
     startSession();
     channel.pipeline().fireChannelRead(TestMessages.buffer(request("a")));
     channel.pipeline().close();
@@ -197,22 +200,22 @@
   }
 
   @Test
-  void admissionIsToldWhatTheConnectionDoes() {
-    expectState(ConnectionState.NEW);
+  void connectionStateIsReportedToAdmission() {
+    assertOnlyState(ConnectionState.NEW);
     startSession();
-    expectState(ConnectionState.NEW);
+    assertOnlyState(ConnectionState.NEW);
     sendRequest("a");
-    expectState(ConnectionState.BUSY);
+    assertOnlyState(ConnectionState.BUSY);
     policy.actions.reject(new RequestId("a"), RETRY_AFTER_NANOS);
-    expectState(ConnectionState.AWAITING_RETRY);
+    assertOnlyState(ConnectionState.AWAITING_RETRY);
     sendRequest("b");
-    expectState(ConnectionState.BUSY);
+    assertOnlyState(ConnectionState.BUSY);
     policy.actions.reject(new RequestId("b"), 0);
-    expectState(ConnectionState.IDLE);
+    assertOnlyState(ConnectionState.IDLE);
   }
 
   @Test
-  void evictionCountsConnectionsThatNeverHadAnAnswer() {
+  void evictionBeforeTheFirstAnswerIsCountedSeparately() {
     startSession();
     connection.evict();
     assertEquals(1, loop.counters.get(Counter.CLIENTS_EVICTED_UNANSWERED));
@@ -224,49 +227,49 @@
     assertEquals(2, loop.counters.get(Counter.CLIENTS_EVICTED));
   }
 
-  /** What exceeds the limit is dropped, and the answer that is due still comes first. */
+  /** Input above the limit is dropped, and the pending request is still answered first. */
   @Test
-  void connectionThatPipelinesTooMuchEndsBehindItsAnswer() {
+  void connectionThatPipelinesTooMuchIsClosedAfterThePendingAnswer() {
     startSession();
     sendRequest("a");
     byte[] ignoredMessage = TestMessages.message('H', new byte[MAX_PIPELINED_BYTES / 4 - 5]);
     send(ignoredMessage, ignoredMessage, ignoredMessage, ignoredMessage);
     fail("a");
-    assertEquals("E(58000) Z", received(), "as much as is allowed");
+    assertEquals("E(58000) Z", takeReceivedTypes(), "exactly at the limit");
     sendRequest("b");
     send(ignoredMessage, ignoredMessage, ignoredMessage, ignoredMessage);
     send(new byte[1]);
-    assertEquals("", received());
+    assertEquals("", takeReceivedTypes());
     fail("b");
-    assertEquals("E(58000) Z E(53300)", received());
+    assertEquals("E(58000) Z E(53300)", takeReceivedTypes());
     assertEquals(1, loop.counters.get(Counter.CLIENTS_REFUSED));
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void requestIsRejectedWhileMemoryIsShort() {
+  void requestIsRejectedWhileMemoryIsExhausted() {
     startSession();
     memory.adjust(STATEMENT_MEMORY_BYTES);
     sendRequest("a");
-    assertEquals("E(53300) Z", received());
+    assertEquals("E(53300) Z", takeReceivedTypes());
     memory.adjust(-STATEMENT_MEMORY_BYTES);
     sendRequest("a");
-    assertEquals("", received(), "taken");
+    assertEquals("", takeReceivedTypes(), "the request is pending");
     assertEquals(0, loop.counters.get(Counter.CLIENTS_REFUSED));
   }
 
   @Test
-  void longIncompleteMessageIsRefusedWhileMemoryIsShort() {
+  void longIncompleteMessageIsRefusedWhileMemoryIsExhausted() {
     startSession();
     memory.adjust(STATEMENT_MEMORY_BYTES);
     byte[] message = TestMessages.message('Q', new byte[2 * MAX_PIPELINED_BYTES_LOW_MEMORY]);
     send(Arrays.copyOf(message, MAX_PIPELINED_BYTES_LOW_MEMORY));
-    assertEquals("", received(), "as much as is allowed");
+    assertEquals("", takeReceivedTypes(), "exactly at the limit");
     channel.close();
     connect();
     startSession();
     send(Arrays.copyOf(message, MAX_PIPELINED_BYTES_LOW_MEMORY + 1));
-    assertEquals("E(53300)", received());
+    assertEquals("E(53300)", takeReceivedTypes());
     assertFalse(channel.isOpen());
     memory.adjust(-STATEMENT_MEMORY_BYTES);
   }
@@ -278,10 +281,10 @@
     send(new byte[] {'Q'});
     loop.advanceBy(2399);
     connection.checkTimeouts();
-    assertEquals("", received());
+    assertEquals("", takeReceivedTypes());
     loop.advanceBy(1);
     connection.checkTimeouts();
-    assertEquals("E(08P01)", received());
+    assertEquals("E(08P01)", takeReceivedTypes());
     assertEquals(1, loop.counters.get(Counter.CLIENTS_TIMED_OUT));
   }
 
@@ -291,7 +294,7 @@
     byte[] invalid = TestMessages.query("SELECT 1");
     for (int i = 0; i < 4; i++) {
       send(invalid);
-      assertEquals("E(42601) Z", received());
+      assertEquals("E(42601) Z", takeReceivedTypes());
     }
     sendRequest("a");
     assertEquals(0, loop.counters.get(Counter.REQUESTS_RECEIVED));
@@ -301,10 +304,10 @@
   }
 
   @Test
-  void cancelKeyCancelsTheRequestOfItsConnectionOnly() {
+  void cancelKeyCancelsOnlyTheRequestOfItsConnection() {
     startSession();
     sendRequest("a");
-    EmbeddedChannel otherChannel = channel;
+    EmbeddedChannel cancelledChannel = channel;
     FrontendConnection cancelled = connection;
     connect();
     assertNotEquals(cancelled.cancelKey(), connection.cancelKey());
@@ -313,8 +316,8 @@
     connect();
     sendCancelRequest(cancelled.cancelKey());
     assertEquals(1, loop.counters.get(Counter.REQUESTS_CANCELLED));
-    channel = otherChannel;
-    assertEquals("E(57014) Z", received());
+    channel = cancelledChannel;
+    assertEquals("E(57014) Z", takeReceivedTypes());
   }
 
   private void sendCancelRequest(long key) {
--- a/router/src/test/java/rushwood/net/FrontendServerTest.java
+++ b/router/src/test/java/rushwood/net/FrontendServerTest.java
@@ -18,11 +18,14 @@
 import rushwood.overload.DescriptorBudget;
 import rushwood.protocol.TestMessages;
 
-/** What becomes of a new connection, and which one ends for it: with {@link ConnectionLimiter}. */
+/**
+ * Tests which new connections are accepted or refused, and which connections the {@link
+ * ConnectionLimiter} closes for them.
+ */
 class FrontendServerTest {
   private static final int MAX_DESCRIPTORS = 10;
 
-  /** What backends leave that have used no connection yet. */
+  /** The descriptors left for clients before any connection to a backend was opened. */
   private static final int MAX_CLIENTS = 8;
 
   private static final int ACCEPT_MARGIN = 16;
@@ -44,7 +47,7 @@
   private final List<EmbeddedChannel> channels = new ArrayList<>();
 
   @AfterEach
-  void checkThatNothingIsHeld() {
+  void assertAllResourcesReleased() {
     server.close();
     assertEquals(0, server.openConnections());
     assertEquals(0, admission.openConnections());
@@ -57,14 +60,18 @@
     return channel;
   }
 
-  private void connect(int count) {
+  private void connectMany(int count) {
     for (int i = 0; i < count; i++) {
       connect();
     }
   }
 
-  /** Has it answered behind its startup response, which is no answer; it is idle from now on. */
-  private void serve(EmbeddedChannel channel) {
+  /**
+   * Starts a session and has a statement answered, after which the connection is idle. The first
+   * answer is written together with the startup response, which does not count as an answer, so a
+   * second one follows.
+   */
+  private void startSessionAndQuery(EmbeddedChannel channel) {
     channel.writeInbound(
         TestMessages.buffer(
             TestMessages.concat(TestMessages.startup(), TestMessages.query("SHOW counters"))));
@@ -75,7 +82,7 @@
     channel.releaseOutbound();
   }
 
-  private static String received(EmbeddedChannel channel) {
+  private static String takeReceivedTypes(EmbeddedChannel channel) {
     ByteBuf out = channel.readOutbound();
     return out == null ? "" : TestMessages.messageTypes(TestMessages.readAndRelease(out));
   }
@@ -85,38 +92,38 @@
   }
 
   @Test
-  void newestIsRefusedOnceAllThatArrivedIsRead() {
-    connect(MAX_CLIENTS);
+  void newestConnectionIsRefusedAfterPendingInputIsRead() {
+    connectMany(MAX_CLIENTS);
     EmbeddedChannel newest = connect();
-    assertEquals(MAX_CLIENTS + 1, openChannels(), "clients may have sent what is not read yet");
+    assertEquals(MAX_CLIENTS + 1, openChannels(), "requests may not have been read yet");
     loop.advanceBy(1);
     assertFalse(newest.isOpen());
-    assertEquals("E(53300)", received(newest));
+    assertEquals("E(53300)", takeReceivedTypes(newest));
     assertEquals(MAX_CLIENTS, openChannels());
     assertEquals(1, loop.counters.get(Counter.CLIENTS_REFUSED));
     assertEquals(0, loop.counters.get(Counter.CLIENTS_EVICTED));
   }
 
   @Test
-  void connectionWithoutFirstRequestIsClosedBeforeAnIdleOne() {
+  void connectionWithoutFirstRequestIsClosedBeforeAnIdleConnection() {
     EmbeddedChannel idle = connect();
-    serve(idle);
-    connect(MAX_CLIENTS - 1);
+    startSessionAndQuery(idle);
+    connectMany(MAX_CLIENTS - 1);
     loop.advanceBy(150);
     EmbeddedChannel newest = connect();
     loop.advanceBy(1);
     assertTrue(idle.isOpen());
     assertTrue(newest.isOpen());
-    assertFalse(channels.get(1).isOpen(), "the oldest without a request");
+    assertFalse(channels.get(1).isOpen(), "the oldest connection without a request");
     assertEquals(1, loop.counters.get(Counter.CLIENTS_EVICTED_UNANSWERED));
   }
 
   @Test
-  void idleConnectionIsClosedWhereOthersStillHaveTimeForTheirFirstRequest() {
+  void idleConnectionIsClosedIfNoFirstRequestIsOverdue() {
     EmbeddedChannel idle = connect();
-    serve(idle);
+    startSessionAndQuery(idle);
     loop.advanceBy(99);
-    connect(MAX_CLIENTS);
+    connectMany(MAX_CLIENTS);
     loop.advanceBy(1);
     assertFalse(idle.isOpen());
     assertEquals(MAX_CLIENTS, openChannels());
@@ -125,12 +132,12 @@
   }
 
   @Test
-  void connectionAboveTheMarginIsRefusedAtOnceUnlessOneCanBeClosed() {
-    connect(MAX_CLIENTS + ACCEPT_MARGIN);
+  void connectionAboveTheMarginIsRefusedAtOnceIfNoneCanBeClosed() {
+    connectMany(MAX_CLIENTS + ACCEPT_MARGIN);
     assertEquals(0, loop.counters.get(Counter.CLIENTS_REFUSED));
     EmbeddedChannel refused = connect();
     assertFalse(refused.isOpen());
-    assertEquals("E(53300)", received(refused));
+    assertEquals("E(53300)", takeReceivedTypes(refused));
     assertEquals(1, loop.counters.get(Counter.CLIENTS_REFUSED));
     assertEquals(MAX_CLIENTS + ACCEPT_MARGIN, openChannels());
   }
@@ -140,7 +147,7 @@
     server.drain();
     EmbeddedChannel refused = connect();
     assertFalse(refused.isOpen());
-    assertEquals("E(57P03)", received(refused));
+    assertEquals("E(57P03)", takeReceivedTypes(refused));
     assertEquals(1, loop.counters.get(Counter.CLIENTS_REFUSED));
     assertEquals(0, loop.counters.get(Counter.CLIENTS_ACCEPTED));
   }
--- a/router/src/test/java/rushwood/net/LingeringConnectionsTest.java
+++ b/router/src/test/java/rushwood/net/LingeringConnectionsTest.java
@@ -16,7 +16,10 @@
 import rushwood.dispatch.FakeEventLoop;
 import rushwood.protocol.TestMessages;
 
-/** How long and how many connections may linger: {@link LingeringClose} and its collection. */
+/**
+ * Tests how long a {@link LingeringClose} keeps its connection open, and how many connections may
+ * linger at once.
+ */
 class LingeringConnectionsTest {
   private static final int MAX_LINGERING = 4;
   private static final int MAX_DISCARDED_BYTES = 1 << 20;
@@ -24,8 +27,8 @@
   private final FakeEventLoop loop = new FakeEventLoop();
   private final LingeringConnections connections = new LingeringConnections(loop.clock);
 
-  /** Never tells that anything is written, as with a peer that does not read. */
-  private static final class UnreadOutput extends ChannelOutboundHandlerAdapter {
+  /** Never completes a write, like the channel of a peer that does not read. */
+  private static final class StalledWriteHandler extends ChannelOutboundHandlerAdapter {
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
       ReferenceCountUtil.release(message);
@@ -33,7 +36,7 @@
   }
 
   @AfterEach
-  void checkBuffers() {
+  void assertAllBuffersReleased() {
     TestMessages.assertAllReleased();
   }
 
@@ -44,7 +47,7 @@
     return channel;
   }
 
-  private List<EmbeddedChannel> linger(int count) {
+  private List<EmbeddedChannel> lingerMany(int count) {
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       channels.add(linger(new DuplexEmbeddedChannel()));
@@ -58,11 +61,11 @@
   }
 
   @Test
-  void outputIsShutDownAndPeerHasASecondToClose() {
+  void outputIsShutDownAndChannelIsClosedAfterTheLingerTime() {
     DuplexEmbeddedChannel channel = new DuplexEmbeddedChannel();
     linger(channel);
     assertTrue(channel.isOutputShutdown());
-    checkDeadlinesAfter(0); // the second counts from the first check
+    checkDeadlinesAfter(0); // the linger time counts from the first check
     checkDeadlinesAfter(999);
     assertTrue(channel.isOpen());
     checkDeadlinesAfter(1);
@@ -71,9 +74,9 @@
   }
 
   @Test
-  void peerThatDoesNotReadIsClosedAfterTheWriteTimeout() {
+  void channelIsClosedAfterTheWriteTimeoutIfThePeerDoesNotRead() {
     DuplexEmbeddedChannel channel = new DuplexEmbeddedChannel();
-    channel.pipeline().addLast(new UnreadOutput());
+    channel.pipeline().addLast(new StalledWriteHandler());
     linger(channel);
     checkDeadlinesAfter(2399);
     assertTrue(channel.isOpen());
@@ -97,19 +100,19 @@
   }
 
   @Test
-  void oldestIsClosedForOneTooMany() {
-    List<EmbeddedChannel> channels = linger(MAX_LINGERING);
+  void oldestConnectionIsClosedAboveTheLimit() {
+    List<EmbeddedChannel> channels = lingerMany(MAX_LINGERING);
     channels.forEach(channel -> assertTrue(channel.isOpen()));
-    linger(1);
+    lingerMany(1);
     assertFalse(channels.get(0).isOpen());
     assertTrue(channels.get(1).isOpen());
     assertEquals(MAX_LINGERING, connections.size());
   }
 
   @Test
-  void anyNumberMayLingerDuringShutdown() {
+  void anyNumberMayLingerOnceTheLimitIsRemoved() {
     connections.removeLimit();
-    List<EmbeddedChannel> channels = linger(MAX_LINGERING + 1);
+    List<EmbeddedChannel> channels = lingerMany(MAX_LINGERING + 1);
     channels.forEach(channel -> assertTrue(channel.isOpen()));
     connections.closeAll();
     channels.forEach(channel -> assertFalse(channel.isOpen()));
--- a/router/src/test/java/rushwood/net/RejectionThrottleTest.java
+++ b/router/src/test/java/rushwood/net/RejectionThrottleTest.java
@@ -10,29 +10,29 @@
 class RejectionThrottleTest {
   private final FakeEventLoop loop = new FakeEventLoop();
   private final RejectionThrottle throttle = new RejectionThrottle(loop.clock, loop.timers);
-  private int resumed;
+  private int resumeCount;
 
   private void reject(int times) {
     for (int i = 0; i < times; i++) {
-      throttle.recordRejection(() -> resumed++);
+      throttle.recordRejection(() -> resumeCount++);
     }
   }
 
   @Test
-  void fourthRejectionInARowPausesFor50Millis() {
+  void fourthConsecutiveRejectionPausesInputFor50Millis() {
     reject(3);
     assertFalse(throttle.isPaused());
     reject(1);
     loop.advanceBy(49);
     assertTrue(throttle.isPaused());
-    assertEquals(0, resumed);
+    assertEquals(0, resumeCount);
     loop.advanceBy(1);
     assertFalse(throttle.isPaused());
-    assertEquals(1, resumed);
+    assertEquals(1, resumeCount);
   }
 
   @Test
-  void acceptedStatementEndsTheRowButNotThePause() {
+  void acceptedStatementResetsTheCountButDoesNotEndThePause() {
     reject(4);
     throttle.reset();
     assertTrue(throttle.isPaused());
@@ -42,10 +42,10 @@
   }
 
   @Test
-  void thirteenthRejectionInARowIsTooMany() {
+  void thirteenthConsecutiveRejectionIsTooMany() {
     reject(12);
-    assertFalse(throttle.isExceeded());
+    assertFalse(throttle.hasTooManyRejections());
     reject(1);
-    assertTrue(throttle.isExceeded());
+    assertTrue(throttle.hasTooManyRejections());
   }
 }
