--- a/router/src/main/java/rushwood/net/ClientTimeout.java
+++ b/router/src/main/java/rushwood/net/ClientTimeout.java
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Bytes were written to the client.
+   * Bytes were written to the client. Unless it is starting up, this restarts the time that it has
+   * to complete a message.
    *
    * @param isStartingUp whether the startup message has not been answered yet
    */
--- a/router/src/main/java/rushwood/net/FrontendServer.java
+++ b/router/src/main/java/rushwood/net/FrontendServer.java
@@ -33,12 +33,12 @@
  * </ol>
  */
 public final class FrontendServer extends ChannelInitializer<Channel> {
-  /** Connections that the kernel queues until the router accepts them, e.g. after a pause. */
+  /** Connections that the kernel queues for the router, e.g. while the process is suspended. */
   public static final int LISTEN_BACKLOG = 512;
 
   private static final long TIMEOUT_CHECK_INTERVAL_NANOS = 200_000_000L;
 
-  // Netty's default, with reads of up to 64 KiB.
+  // Netty's default; each read takes up to 64 KiB.
   private static final int MAX_READS_PER_TURN = 16;
 
   /**
--- a/router/src/main/java/rushwood/net/InputLimit.java
+++ b/router/src/main/java/rushwood/net/InputLimit.java
@@ -50,8 +50,9 @@
     if (mustWait && unreadBytes > MAX_PIPELINED_BYTES) {
       return true;
     }
-    boolean isMemoryShort = mustWait ? statementMemory.isLow() : statementMemory.isExhausted();
-    return isMemoryShort && unreadBytes > MAX_PIPELINED_BYTES_LOW_MEMORY;
+    boolean isLowMemoryLimitActive =
+        mustWait ? statementMemory.isLow() : statementMemory.isExhausted();
+    return isLowMemoryLimitActive && unreadBytes > MAX_PIPELINED_BYTES_LOW_MEMORY;
   }
 
   /** Returns whether the client has ever exceeded a limit; its input has to be dropped then. */
--- a/router/src/main/java/rushwood/net/LingeringConnections.java
+++ b/router/src/main/java/rushwood/net/LingeringConnections.java
@@ -31,7 +31,7 @@
     connection.channel.closeFuture().addListener(closed -> connections.remove(connection));
   }
 
-  /** Lets any number linger. For shutdown, when new connections need no descriptors. */
+  /** Lifts the limit for shutdown, when no descriptors are needed for new connections. */
   void removeLimit() {
     limited = false;
   }
--- a/router/src/main/java/rushwood/net/StatementMemory.java
+++ b/router/src/main/java/rushwood/net/StatementMemory.java
@@ -15,7 +15,7 @@
     usedBytes += bytes;
   }
 
-  /** Returns whether the lower limit on pipelined input applies. */
+  /** Returns whether clients that have to wait may pipeline less input; see {@link InputLimit}. */
   boolean isLow() {
     return usedBytes > LOW_MEMORY_BYTES;
   }
