--- a/router/src/main/java/rushwood/dispatch/OpenConnections.java
+++ b/router/src/main/java/rushwood/dispatch/OpenConnections.java
@@ -27,10 +27,10 @@
 
   private void update(int changed) {
     count = changed;
-    descriptors.setOpenBackends(count, clock.now());
+    descriptors.setOpenBackendConnections(count, clock.now());
   }
 
   boolean isAtLimit() {
-    return count >= descriptors.maxBackends();
+    return count >= descriptors.maxBackendConnections();
   }
 }
--- a/router/src/main/java/rushwood/net/ConnectionLimiter.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimiter.java
@@ -48,7 +48,7 @@
 
   /** Takes over how many connections the descriptor budget allows now. */
   void updateLimit() {
-    admission.setMaxConnections(descriptorBudget.maxClients(clock.now()));
+    admission.setMaxConnections(descriptorBudget.maxClientConnections(clock.now()));
     acceptBatch.setRoom(admission.maxConnections() - admission.openConnections());
   }
 
@@ -112,7 +112,7 @@
   private boolean endOneOverLimit() {
     EvictionDecision decision = admission.decideOverLimit(clock.now());
     switch (decision.action()) {
-      case CLOSE_WITHOUT_FIRST_REQUEST, CLOSE_IDLE -> connectionOf(decision.connection()).evict();
+      case CLOSE_UNUSED, CLOSE_IDLE -> connectionOf(decision.connection()).evict();
       case REFUSE_NEWEST -> refuse(connectionOf(decision.connection()));
       case NONE -> {
         return false;
--- a/router/src/main/java/rushwood/net/ConnectionRegistry.java
+++ b/router/src/main/java/rushwood/net/ConnectionRegistry.java
@@ -45,7 +45,7 @@
   AdmissionReporter add(FrontendConnection connection, long now) {
     connections.add(connection);
     connectionsByCancelKey.put(connection.cancelKey(), connection);
-    descriptorBudget.setOpenClients(connections.size());
+    descriptorBudget.setOpenClientConnections(connections.size());
     return new AdmissionReporter(admission, admission.admit(connection, now));
   }
 
@@ -56,7 +56,7 @@
     }
     connectionsByCancelKey.remove(connection.cancelKey());
     admission.remove(admitted);
-    descriptorBudget.setOpenClients(connections.size());
+    descriptorBudget.setOpenClientConnections(connections.size());
     return true;
   }
 
--- a/router/src/main/java/rushwood/overload/DescriptorBudget.java
+++ b/router/src/main/java/rushwood/overload/DescriptorBudget.java
@@ -38,7 +38,7 @@
   }
 
   /** Reports how many connections to backends are open or opening. */
-  public void setOpenBackends(int open, long now) {
+  public void setOpenBackendConnections(int open, long now) {
     openBackends = open;
     if (open >= decayedPeak(now)) {
       backendPeak = open;
@@ -47,12 +47,12 @@
   }
 
   /** Reports how many connections of clients are open. */
-  public void setOpenClients(int open) {
+  public void setOpenClientConnections(int open) {
     openClients = open;
   }
 
   /** How many connections of clients there may be now. */
-  public int maxClients(long now) {
+  public int maxClientConnections(long now) {
     double neededByBackends = Math.max(openBackends, decayedPeak(now)) * BACKEND_HEADROOM;
     double minForBackends = total * MIN_BACKEND_SHARE;
     int reserved = (int) Math.ceil(Math.max(minForBackends, neededByBackends));
@@ -60,7 +60,7 @@
   }
 
   /** How many connections to backends there may be: what clients leave, one at least. */
-  public int maxBackends() {
+  public int maxBackendConnections() {
     return Math.max(1, total - Math.max(openClients, minClients()));
   }
 
--- a/router/src/main/java/rushwood/overload/EvictionDecision.java
+++ b/router/src/main/java/rushwood/overload/EvictionDecision.java
@@ -7,7 +7,7 @@
   /** What is to be done with the connection. */
   public enum Action {
     /** Close it: its first request is overdue. */
-    CLOSE_WITHOUT_FIRST_REQUEST,
+    CLOSE_UNUSED,
     /** Close it: it has been idle for longest. */
     CLOSE_IDLE,
     /** Answer it with an error and close it: it is the newest without a request. */
@@ -17,7 +17,7 @@
 
     /** Whether a connection is closed that was served, or had its time to send a request. */
     public boolean isClose() {
-      return this == CLOSE_WITHOUT_FIRST_REQUEST || this == CLOSE_IDLE;
+      return this == CLOSE_UNUSED || this == CLOSE_IDLE;
     }
   }
 
--- a/router/src/main/java/rushwood/overload/EvictionPolicy.java
+++ b/router/src/main/java/rushwood/overload/EvictionPolicy.java
@@ -58,7 +58,7 @@
     endOverdueRetries(now);
     AdmittedConnection oldestNew = connections.oldest(ConnectionState.NEW);
     if (oldestNew != null && oldestNew.isInStateFor(FIRST_REQUEST_TIMEOUT_NANOS, now)) {
-      return EvictionDecision.of(Action.CLOSE_WITHOUT_FIRST_REQUEST, oldestNew);
+      return EvictionDecision.of(Action.CLOSE_UNUSED, oldestNew);
     }
     AdmittedConnection idle = longestIdle(now);
     if (idle != null) {
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -131,7 +131,8 @@
     return requestPathFactory.createFrontend(
         dispatcher,
         new ConnectionAdmission(
-            descriptorBudget.maxClients(clock.now()), config.settings().maxRetryAfterNanos()),
+            descriptorBudget.maxClientConnections(clock.now()),
+            config.settings().maxRetryAfterNanos()),
         () -> overloadController.retryAfterForRefusedConnection(clock.now()),
         new SplittableRandom(config.seed() + 2));
   }
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -71,7 +71,7 @@
     admit("later", 120);
     admit("newest", 149);
     assertEndsOverLimit(Action.CLOSE_IDLE, idle, 149);
-    assertEndsOverLimit(Action.CLOSE_WITHOUT_FIRST_REQUEST, withoutRequest, 150);
+    assertEndsOverLimit(Action.CLOSE_UNUSED, withoutRequest, 150);
     setState(withoutRequest, ConnectionState.BUSY, 150); // its first request arrived after all
     assertEndsOverLimit(Action.CLOSE_IDLE, idle, 150);
   }
@@ -120,7 +120,7 @@
     setState(admit("busy", 0), ConnectionState.BUSY, 0);
     AdmittedConnection newest = admit("newest", 1000);
     admission.startShutdown();
-    assertEndsOverLimit(Action.CLOSE_WITHOUT_FIRST_REQUEST, withoutRequest, 1000);
+    assertEndsOverLimit(Action.CLOSE_UNUSED, withoutRequest, 1000);
     admission.remove(withoutRequest);
     assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 1000);
   }
