--- a/router/src/main/java/rushwood/overload/AdmittedConnection.java
+++ b/router/src/main/java/rushwood/overload/AdmittedConnection.java
@@ -35,7 +35,7 @@
   }
 
   /** Whether it has been in its state for that long. */
-  boolean isInStateFor(long nanos, long now) {
+  boolean hasBeenInStateFor(long nanos, long now) {
     return stateSince <= now - nanos;
   }
 
--- a/router/src/main/java/rushwood/overload/AmbiguousWrites.java
+++ b/router/src/main/java/rushwood/overload/AmbiguousWrites.java
@@ -29,7 +29,7 @@
   }
 
   /** Whether an earlier write of that fingerprint may have been executed, or may still be. */
-  boolean hasEarlierWrite(long now, Request request) {
+  boolean hasEarlierAmbiguousWrite(long now, Request request) {
     return enabled && isUnsafeToRepeat(request) && isAmbiguous(now, request.fingerprint());
   }
 
--- a/router/src/main/java/rushwood/overload/ConnectBackoff.java
+++ b/router/src/main/java/rushwood/overload/ConnectBackoff.java
@@ -17,12 +17,12 @@
 public final class ConnectBackoff {
   private static final class HostBackoff {
     private int attemptsInFlight;
-    private long gapNanos = NO_GAP;
+    private long delayNanos = NO_DELAY;
     private long nextAttemptAt = Times.LONG_AGO;
 
     boolean isAttemptAllowed(long now) {
-      boolean isBackingOff = gapNanos != NO_GAP;
-      return !isBackingOff || (attemptsInFlight == 0 && now >= nextAttemptAt);
+      boolean backingOff = delayNanos != NO_DELAY;
+      return !backingOff || (attemptsInFlight == 0 && now >= nextAttemptAt);
     }
 
     void attemptStarted() {
@@ -34,23 +34,23 @@
     }
 
     void reset() {
-      gapNanos = NO_GAP;
+      delayNanos = NO_DELAY;
     }
 
     /** Doubles the gap, unless the next attempt was not due: then others failed with this one. */
     void backOff(long now, RandomGenerator random) {
       if (now >= nextAttemptAt) {
-        gapNanos = Math.min(MAX_GAP_NANOS, Math.max(FIRST_GAP_NANOS, 2 * gapNanos));
-        nextAttemptAt = now + gapNanos / 2 + random.nextLong(gapNanos);
+        delayNanos = Math.min(MAX_DELAY_NANOS, Math.max(INITIAL_DELAY_NANOS, 2 * delayNanos));
+        nextAttemptAt = now + delayNanos / 2 + random.nextLong(delayNanos);
       }
     }
   }
 
-  private static final long NO_GAP = 0;
+  private static final long NO_DELAY = 0;
   // A listener that restarts is back within a few of them.
-  private static final long FIRST_GAP_NANOS = 20_000_000L;
+  private static final long INITIAL_DELAY_NANOS = 20_000_000L;
   // As often as the routing policy checks the health of a host that is unreachable.
-  private static final long MAX_GAP_NANOS = 500_000_000L;
+  private static final long MAX_DELAY_NANOS = 500_000_000L;
 
   private final Map<HostId, HostBackoff> backoffs = new LinkedHashMap<>();
   private final RandomGenerator random;
--- a/router/src/main/java/rushwood/overload/EvictionPolicy.java
+++ b/router/src/main/java/rushwood/overload/EvictionPolicy.java
@@ -55,12 +55,12 @@
 
   /** Which connection ends while there are more than allowed. */
   EvictionDecision decideOverLimit(long now) {
-    endOverdueRetries(now);
+    moveOverdueRetriesToIdle(now);
     AdmittedConnection oldestNew = connections.oldest(ConnectionState.NEW);
-    if (oldestNew != null && oldestNew.isInStateFor(FIRST_REQUEST_TIMEOUT_NANOS, now)) {
+    if (oldestNew != null && oldestNew.hasBeenInStateFor(FIRST_REQUEST_TIMEOUT_NANOS, now)) {
       return EvictionDecision.of(Action.CLOSE_UNUSED, oldestNew);
     }
-    AdmittedConnection idle = longestIdle(now);
+    AdmittedConnection idle = findEvictableIdle(now);
     if (idle != null) {
       return EvictionDecision.of(Action.CLOSE_IDLE, idle);
     }
@@ -73,21 +73,22 @@
   /** Which connection ends although there are no more than {@code maxConnections}. */
   EvictionDecision decideBelowLimit(int maxConnections, long now) {
     boolean manyIdle = connections.count(ConnectionState.IDLE) > maxConnections * MAX_IDLE_SHARE;
-    AdmittedConnection idle = manyIdle && reuseEstimate.isReuseRare() ? longestIdle(now) : null;
+    AdmittedConnection idle =
+        manyIdle && reuseEstimate.isReuseRare() ? findEvictableIdle(now) : null;
     return idle == null ? EvictionDecision.NONE : EvictionDecision.of(Action.CLOSE_IDLE, idle);
   }
 
-  private @Nullable AdmittedConnection longestIdle(long now) {
+  private @Nullable AdmittedConnection findEvictableIdle(long now) {
     AdmittedConnection longestIdle = connections.oldest(ConnectionState.IDLE);
     boolean mayClose =
-        longestIdle != null && !shuttingDown && longestIdle.isInStateFor(MIN_IDLE_NANOS, now);
+        longestIdle != null && !shuttingDown && longestIdle.hasBeenInStateFor(MIN_IDLE_NANOS, now);
     return mayClose ? longestIdle : null;
   }
 
-  private void endOverdueRetries(long now) {
+  private void moveOverdueRetriesToIdle(long now) {
     long overdueNanos = maxRetryAfterNanos + RETURN_TOLERANCE_NANOS;
     AdmittedConnection oldest = connections.oldest(ConnectionState.AWAITING_RETRY);
-    while (oldest != null && oldest.isInStateFor(overdueNanos, now)) {
+    while (oldest != null && oldest.hasBeenInStateFor(overdueNanos, now)) {
       long retryAfterEnd = oldest.stateSince() + maxRetryAfterNanos;
       connections.move(oldest, ConnectionState.IDLE, retryAfterEnd);
       oldest = connections.oldest(ConnectionState.AWAITING_RETRY);
--- a/router/src/main/java/rushwood/overload/FingerprintCache.java
+++ b/router/src/main/java/rushwood/overload/FingerprintCache.java
@@ -11,7 +11,7 @@
   private static final long EXPIRED = 0;
   private static final int ENTRIES_PER_BUCKET = 4;
   // 4,096 fingerprints: half a second of 8,000 rejected requests a second.
-  private static final int REPEATS_BUCKETS = 1 << 10;
+  private static final int BUCKETS_FOR_REPEATS = 1 << 10;
 
   private final long[] fingerprints;
   private final long[] expiresAt;
@@ -36,7 +36,7 @@
 
   /** Creates a cache for the repeats that an overloaded router sees; a tiny one if unused. */
   static FingerprintCache forRepeats(boolean used) {
-    return new FingerprintCache(used ? REPEATS_BUCKETS : 1);
+    return new FingerprintCache(used ? BUCKETS_FOR_REPEATS : 1);
   }
 
   /** Bytes held by the entries, whether they are used or not. */
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -36,7 +36,7 @@
   private final RequestTracker requestTracker;
   private final RetryAfterAdvisor retryAfterAdvisor;
   private final OverloadSignals signals;
-  private final ObservedActions observedActions;
+  private final TrackingPolicyActions trackingActions;
   private final RoutingPolicy policy;
   private long nextTickAt = Times.LONG_AGO;
 
@@ -70,8 +70,8 @@
     signals =
         new OverloadControlSignals(
             statistics, retryAfterAdvisor, connectBackoff, counts, answerDelayNanos);
-    observedActions = new ObservedActions(actions, requestTracker);
-    policy = policyFactory.apply(signals, observedActions);
+    trackingActions = new TrackingPolicyActions(actions, requestTracker);
+    policy = policyFactory.apply(signals, trackingActions);
   }
 
   /** Counts since the start; they go on counting. */
@@ -143,9 +143,9 @@
     boolean isPossibleRepeat = repeatDetector.isPossibleRepeat(now, request);
     long advisedWaitNanos =
         isPossibleRepeat ? retryAfterAdvisor.takeAdvisedWait(request.fingerprint(), now) : 0;
-    boolean isRepeat = isPossibleRepeat && repeatDetector.takeRepeat(request);
+    boolean isRepeat = isPossibleRepeat && repeatDetector.confirmRepeat(request);
     statistics.recordArrival(request.group(), isRepeat);
-    if (ambiguousWrites.hasEarlierWrite(now, request)) {
+    if (ambiguousWrites.hasEarlierAmbiguousWrite(now, request)) {
       counts.addAmbiguousWriteFailed();
       actions.fail(request.id());
       return;
@@ -188,7 +188,7 @@
 
   /** Ends a tick before the event if one is due. */
   private void startEvent(long now) {
-    observedActions.eventStarted(now);
+    trackingActions.eventStarted(now);
     if (now < nextTickAt) {
       return;
     }
--- a/router/src/main/java/rushwood/overload/OverloadDetector.java
+++ b/router/src/main/java/rushwood/overload/OverloadDetector.java
@@ -59,8 +59,8 @@
   private double completed;
   private double peakCompleted;
   private OverloadState state = OverloadState.NORMAL;
-  private int worseTicks;
-  private int betterTicks;
+  private int worseningTicks;
+  private int improvingTicks;
 
   /** A request arrived; {@code repeated} if it repeats one that had no answer. */
   void recordArrival(boolean repeated) {
@@ -99,8 +99,8 @@
     OverloadState next = nextState();
     boolean changed = next != state;
     if (changed) {
-      worseTicks = 0;
-      betterTicks = 0;
+      worseningTicks = 0;
+      improvingTicks = 0;
     }
     state = next;
     return changed;
@@ -119,38 +119,38 @@
   }
 
   private OverloadState nextState() {
-    worseTicks = isWorse() ? worseTicks + 1 : 0;
-    betterTicks = isBetter() ? betterTicks + 1 : 0;
+    worseningTicks = isWorsening() ? worseningTicks + 1 : 0;
+    improvingTicks = isImproving() ? improvingTicks + 1 : 0;
     return switch (state) {
-      case NORMAL -> worseTicks >= TICKS_TO_RISING ? OverloadState.RISING : state;
-      case RISING -> overloadedOr(OverloadState.NORMAL, TICKS_TO_RECOVERING);
-      case OVERLOADED -> betterTicks >= TICKS_TO_RECOVERING ? OverloadState.RECOVERING : state;
-      case RECOVERING -> overloadedOr(OverloadState.NORMAL, TICKS_TO_NORMAL);
+      case NORMAL -> worseningTicks >= TICKS_TO_RISING ? OverloadState.RISING : state;
+      case RISING -> overloadedOrImproved(OverloadState.NORMAL, TICKS_TO_RECOVERING);
+      case OVERLOADED -> improvingTicks >= TICKS_TO_RECOVERING ? OverloadState.RECOVERING : state;
+      case RECOVERING -> overloadedOrImproved(OverloadState.NORMAL, TICKS_TO_NORMAL);
     };
   }
 
-  private OverloadState overloadedOr(OverloadState better, int ticksToBetter) {
-    if (worseTicks >= TICKS_TO_OVERLOADED) {
+  private OverloadState overloadedOrImproved(OverloadState improved, int ticksToImproved) {
+    if (worseningTicks >= TICKS_TO_OVERLOADED) {
       return OverloadState.OVERLOADED;
     }
-    return betterTicks >= ticksToBetter ? better : state;
+    return improvingTicks >= ticksToImproved ? improved : state;
   }
 
-  private boolean isWorse() {
+  private boolean isWorsening() {
     return state == OverloadState.NORMAL
-        ? isAbove(RISING_SHARE, RISING_SHARE)
-        : isAbove(OVERLOADED_REFUSED_SHARE, OVERLOADED_REPEATED_SHARE);
+        ? exceedsShares(RISING_SHARE, RISING_SHARE)
+        : exceedsShares(OVERLOADED_REFUSED_SHARE, OVERLOADED_REPEATED_SHARE);
   }
 
-  private boolean isBetter() {
+  private boolean isImproving() {
     if (state != OverloadState.RECOVERING) {
-      return !isAbove(RISING_SHARE, RISING_SHARE);
+      return !exceedsShares(RISING_SHARE, RISING_SHARE);
     }
     return arrivals <= MIN_ARRIVALS_PER_TICK
         || (refused < RECOVERED_REFUSED_SHARE * arrivals && repeats < RISING_SHARE * arrivals);
   }
 
-  private boolean isAbove(double refusedShare, double repeatedShare) {
+  private boolean exceedsShares(double refusedShare, double repeatedShare) {
     return arrivals > MIN_ARRIVALS_PER_TICK
         && refused > refusedShare * arrivals
         && repeats > repeatedShare * arrivals;
--- a/router/src/main/java/rushwood/overload/RepeatDetector.java
+++ b/router/src/main/java/rushwood/overload/RepeatDetector.java
@@ -55,7 +55,7 @@
    * Whether a {@linkplain #isPossibleRepeat possible} repeat is one: then the group expects one
    * repeat less. To be asked once for each request.
    */
-  boolean takeRepeat(Request request) {
+  boolean confirmRepeat(Request request) {
     boolean isRepeat = statistics.takeUnanswered(request.group());
     if (isRepeat) {
       counts.addRepeatedRequest();
--- a/router/src/main/java/rushwood/overload/RequestTracker.java
+++ b/router/src/main/java/rushwood/overload/RequestTracker.java
@@ -19,7 +19,7 @@
   private final RepeatDetector repeatDetector;
   private final AmbiguousWrites ambiguousWrites;
   private final Map<RequestId, TrackedRequest> requests = new LinkedHashMap<>(); // oldest first
-  private long waitingCount;
+  private long pendingCount;
 
   RequestTracker(RepeatDetector repeatDetector, AmbiguousWrites ambiguousWrites) {
     this.repeatDetector = repeatDetector;
@@ -27,8 +27,8 @@
   }
 
   /** How many requests have no final answer yet. */
-  long waitingCount() {
-    return waitingCount;
+  long pendingCount() {
+    return pendingCount;
   }
 
   int size() {
@@ -38,7 +38,7 @@
   /** A request arrived and is passed on to the policy. */
   void requestReceived(Request request) {
     requests.put(request.id(), new TrackedRequest(request));
-    waitingCount++;
+    pendingCount++;
   }
 
   /** An attempt was sent; one of a request that is not tracked is ignored. */
@@ -57,8 +57,8 @@
     }
     tracked.attemptFinished(result.outcome());
     if (result.requestFinished() && !tracked.isFinished()) {
-      tracked.succeed();
-      waitingCount--;
+      tracked.markAnswered();
+      pendingCount--;
     }
     removeIfSettled(now, tracked);
   }
@@ -69,8 +69,8 @@
     if (tracked == null || tracked.isFinished()) {
       return;
     }
-    tracked.endUnanswered();
-    waitingCount--;
+    tracked.markUnanswered();
+    pendingCount--;
     if (tracked.request().hasFingerprint()) {
       repeatDetector.recordUnanswered(now, tracked.request());
       if (tracked.isPossiblyExecuted()) {
@@ -104,7 +104,7 @@
       if (tracked.request().deadline() > now - OVERDUE_GRACE_NANOS) {
         return;
       }
-      waitingCount -= tracked.isFinished() ? 0 : 1;
+      pendingCount -= tracked.isFinished() ? 0 : 1;
       oldestFirst.remove();
     }
   }
--- a/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
@@ -85,7 +85,7 @@
             now,
             request.group().value(),
             highPriority,
-            requestTracker.waitingCount(),
+            requestTracker.pendingCount(),
             settings.maxRetryAfterNanos());
     counts.addReservation(reservation.reserved());
     long waitNanos = reservation.waitNanos();
@@ -108,7 +108,7 @@
       return settings.maxRetryAfterNanos();
     }
     return schedule
-        .reserve(now, NO_GROUP, false, requestTracker.waitingCount(), settings.maxRetryAfterNanos())
+        .reserve(now, NO_GROUP, false, requestTracker.pendingCount(), settings.maxRetryAfterNanos())
         .waitNanos();
   }
 
--- a/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
@@ -39,7 +39,7 @@
   private final int[] reservedInSlot;
   private final int[][] reservedByGroupBucket;
   private final long[] slotNumbers;
-  private final long[] lastReservedAt = new long[GROUP_BUCKETS];
+  private final long[] lastActiveAt = new long[GROUP_BUCKETS];
   private double capacityPerSlot;
 
   /** Creates an empty schedule that tells no wait longer than {@code maxWaitNanos}. */
@@ -49,7 +49,7 @@
     reservedInSlot = new int[slotCount + 1];
     reservedByGroupBucket = new int[slotCount + 1][GROUP_BUCKETS];
     slotNumbers = new long[slotCount + 1];
-    Arrays.fill(lastReservedAt, Times.LONG_AGO);
+    Arrays.fill(lastActiveAt, Times.LONG_AGO);
   }
 
   /** Sets how many requests a second the hosts are expected to serve; 0 if that is unknown. */
@@ -62,20 +62,20 @@
    *
    * @param group the number of its group
    * @param highPriority whether it may use all of a slot
-   * @param waitingRequests how many requests wait here already and are served first
+   * @param pendingRequests how many requests wait here already and are served first
    * @param clientMaxWaitNanos the longest wait after which its client may still return
    */
   public Reservation reserve(
-      long now, int group, boolean highPriority, double waitingRequests, long clientMaxWaitNanos) {
+      long now, int group, boolean highPriority, double pendingRequests, long clientMaxWaitNanos) {
     int groupBucket = Math.floorMod(group, GROUP_BUCKETS);
-    lastReservedAt[groupBucket] = now;
+    lastActiveAt[groupBucket] = now;
     double capacity = capacityPerSlot * (highPriority ? 1 : MAX_LOW_PRIORITY_SHARE);
     double groupCapacity =
         isAnotherGroupActive(now, groupBucket)
             ? capacityPerSlot * MAX_SHARE_OF_ONE_GROUP
             : capacity;
     long current = now / SLOT_NANOS;
-    long first = current + 1 + slotsUntilServed(waitingRequests);
+    long first = current + 1 + slotsUntilServed(pendingRequests);
     long last = current + Math.min(slotCount, Math.max(1, clientMaxWaitNanos / SLOT_NANOS));
     for (long slot = first; slot <= last; slot++) {
       if (hasRoom(slot, groupBucket, capacity, groupCapacity)) {
@@ -89,16 +89,16 @@
 
   private boolean isAnotherGroupActive(long now, int groupBucket) {
     for (int i = 0; i < GROUP_BUCKETS; i++) {
-      if (i != groupBucket && lastReservedAt[i] > now - GROUP_ACTIVE_NANOS) {
+      if (i != groupBucket && lastActiveAt[i] > now - GROUP_ACTIVE_NANOS) {
         return true;
       }
     }
     return false;
   }
 
-  private long slotsUntilServed(double waitingRequests) {
+  private long slotsUntilServed(double pendingRequests) {
     return capacityPerSlot > 0
-        ? (long) Math.min(slotCount, waitingRequests / capacityPerSlot)
+        ? (long) Math.min(slotCount, pendingRequests / capacityPerSlot)
         : slotCount;
   }
 
--- a/router/src/main/java/rushwood/overload/TrackedRequest.java
+++ b/router/src/main/java/rushwood/overload/TrackedRequest.java
@@ -29,13 +29,13 @@
   }
 
   /** The request was answered: its client does not repeat it, whatever attempts may have done. */
-  void succeed() {
+  void markAnswered() {
     finished = true;
     mayHaveExecuted = false;
   }
 
   /** The request ends without an answer: its client may repeat it. */
-  void endUnanswered() {
+  void markUnanswered() {
     finished = true;
   }
 
--- a/router/src/main/java/rushwood/overload/ObservedActions.java
+++ b/router/src/main/java/rushwood/overload/TrackingPolicyActions.java
@@ -9,12 +9,12 @@
  * Passes the policy's actions on unchanged, and tells the {@link RequestTracker} of attempts and of
  * requests that end without an answer.
  */
-final class ObservedActions implements PolicyActions {
+final class TrackingPolicyActions implements PolicyActions {
   private final PolicyActions actions;
   private final RequestTracker requestTracker;
   private long eventTime;
 
-  ObservedActions(PolicyActions actions, RequestTracker requestTracker) {
+  TrackingPolicyActions(PolicyActions actions, RequestTracker requestTracker) {
     this.actions = actions;
     this.requestTracker = requestTracker;
   }
--- a/router/src/test/java/rushwood/overload/OverloadControllerFixture.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerFixture.java
@@ -98,9 +98,9 @@
             new ConnectBackoff(new SplittableRandom(1), true),
             () -> 0,
             new RecordingActions(),
-            (overloadSignals, observedActions) ->
+            (overloadSignals, trackingActions) ->
                 new DefaultRoutingPolicy(
-                    SETTINGS, new SplittableRandom(2), observedActions, overloadSignals));
+                    SETTINGS, new SplittableRandom(2), trackingActions, overloadSignals));
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < groups; i++) {
       endpoints.add(
--- a/router/src/test/java/rushwood/overload/RetryAfterScheduleTest.java
+++ b/router/src/test/java/rushwood/overload/RetryAfterScheduleTest.java
@@ -20,8 +20,8 @@
 
   /** Reserves for a request of high priority behind others that wait, at time 0. */
   private static Reservation reserveBehind(
-      RetryAfterSchedule schedule, int waitingRequests, long maxWaitMillis) {
-    return schedule.reserve(0, GROUP, true, waitingRequests, maxWaitMillis * NANOS_PER_MILLI);
+      RetryAfterSchedule schedule, int pendingRequests, long maxWaitMillis) {
+    return schedule.reserve(0, GROUP, true, pendingRequests, maxWaitMillis * NANOS_PER_MILLI);
   }
 
   /** Reserves at time 0 until there is no room; returns for how many requests there was. */
