--- a/router/src/main/java/rushwood/overload/AdmittedConnection.java
+++ b/router/src/main/java/rushwood/overload/AdmittedConnection.java
@@ -1,16 +1,16 @@
 package rushwood.overload;
 
 /**
- * A connection that {@link ConnectionAdmission} has admitted: its owner, its state, and its place
- * in the {@link ConnectionList} of that state. It is a node of the list itself, so that a change of
- * state allocates nothing.
+ * A client connection that {@link ConnectionAdmission} has admitted: its owner, its state, and its
+ * links in the {@link ConnectionList} of that state. The connection itself is the list node, so
+ * that a state change allocates nothing.
  */
 public final class AdmittedConnection {
   private final Object owner;
   private ConnectionState state = ConnectionState.NEW;
   private long stateSince;
   private boolean removed;
-  // Outside of a list a node is linked to itself.
+  // A node that is in no list is linked to itself.
   private AdmittedConnection previous = this;
   private AdmittedConnection next = this;
 
@@ -19,22 +19,22 @@
     stateSince = admittedAt;
   }
 
-  /** The object that was given to {@link ConnectionAdmission#admit}. */
+  /** Returns the object that was passed to {@link ConnectionAdmission#admit}. */
   public Object owner() {
     return owner;
   }
 
-  /** The state; once the connection was removed, its last one. */
+  /** Returns the current state, or the last one if the connection has been removed. */
   public ConnectionState state() {
     return state;
   }
 
-  /** The clock time in nanoseconds since when it has been in its state. */
+  /** Returns the clock time in nanoseconds at which the connection entered its state. */
   long stateSince() {
     return stateSince;
   }
 
-  /** Whether it has been in its state for that long. */
+  /** Returns whether the connection has been in its state for at least {@code nanos}. */
   boolean hasBeenInStateFor(long nanos, long now) {
     return stateSince <= now - nanos;
   }
@@ -43,9 +43,9 @@
     return removed;
   }
 
-  void enterState(ConnectionState entered, long since) {
-    state = entered;
-    stateSince = since;
+  void enterState(ConnectionState newState, long enteredAt) {
+    state = newState;
+    stateSince = enteredAt;
   }
 
   void markRemoved() {
@@ -60,7 +60,7 @@
     return next;
   }
 
-  /** Links this node, which is in no list, between another one and its predecessor. */
+  /** Inserts this node, which must be in no list, in front of {@code successor}. */
   void linkBefore(AdmittedConnection successor) {
     next = successor;
     previous = successor.previous;
@@ -68,7 +68,7 @@
     successor.previous = this;
   }
 
-  /** Takes this node out of its list. */
+  /** Removes this node from its list. */
   void unlink() {
     previous.next = next;
     next.previous = previous;
--- a/router/src/main/java/rushwood/overload/ConnectBackoff.java
+++ b/router/src/main/java/rushwood/overload/ConnectBackoff.java
@@ -8,11 +8,12 @@
 import rushwood.api.Times;
 
 /**
- * Limits connection attempts to hosts that accept none: after a failure one attempt at a time, at
- * exponentially growing gaps with jitter, until one succeeds. Times are clock times in nanoseconds.
+ * Limits the connection attempts to hosts that do not accept connections: after a failure, one
+ * attempt at a time is allowed, with exponential backoff and jitter, until an attempt succeeds.
+ * Times are clock times in nanoseconds.
  *
- * <p>A host that is down costs a bounded number of attempts a second whatever the load, and one
- * that comes back is not met by everything that waited for it.
+ * <p>A host that is down thus costs a bounded number of attempts per second whatever the load, and
+ * a host that comes back does not get all pending connection attempts at once.
  */
 public final class ConnectBackoff {
   private static final class HostBackoff {
@@ -37,7 +38,10 @@
       delayNanos = NO_DELAY;
     }
 
-    /** Doubles the gap, unless the next attempt was not due: then others failed with this one. */
+    /**
+     * Doubles the delay if the next attempt was due. Otherwise the attempt started together with
+     * one whose failure has been counted already.
+     */
     void backOff(long now, RandomGenerator random) {
       if (now >= nextAttemptAt) {
         delayNanos = Math.min(MAX_DELAY_NANOS, Math.max(INITIAL_DELAY_NANOS, 2 * delayNanos));
@@ -47,35 +51,38 @@
   }
 
   private static final long NO_DELAY = 0;
-  // A listener that restarts is back within a few of them.
+  // A host whose listener restarts accepts connections again within a few of these delays.
   private static final long INITIAL_DELAY_NANOS = 20_000_000L;
-  // As often as the routing policy checks the health of a host that is unreachable.
+  // The interval at which the routing policy checks the health of an unreachable host.
   private static final long MAX_DELAY_NANOS = 500_000_000L;
 
   private final Map<HostId, HostBackoff> backoffs = new LinkedHashMap<>();
   private final RandomGenerator random;
   private final boolean enabled;
 
-  /** Creates the backoff of all hosts; if not {@code enabled} every attempt is allowed. */
+  /** Creates the backoff for all hosts; unless {@code enabled}, every attempt is allowed. */
   public ConnectBackoff(RandomGenerator random, boolean enabled) {
     this.random = random;
     this.enabled = enabled;
   }
 
-  /** Whether an attempt may start now. */
+  /** Returns whether a connection attempt to the host may start now. */
   public boolean isAttemptAllowed(HostId host, long now) {
     HostBackoff backoff = backoffs.get(host);
     return !enabled || backoff == null || backoff.isAttemptAllowed(now);
   }
 
-  /** An attempt starts; one of the other three methods ends it. */
+  /**
+   * Records the start of an attempt. The caller reports its end with {@link #attemptSucceeded},
+   * {@link #attemptFailed} or {@link #attemptCancelled}.
+   */
   public void attemptStarted(HostId host) {
     if (enabled) {
       backoffs.computeIfAbsent(host, unknownHost -> new HostBackoff()).attemptStarted();
     }
   }
 
-  /** An attempt succeeded: attempts are no longer limited. */
+  /** Records a successful attempt: attempts to the host are no longer limited. */
   public void attemptSucceeded(HostId host) {
     HostBackoff backoff = endAttempt(host);
     if (backoff != null) {
@@ -83,7 +90,10 @@
     }
   }
 
-  /** An attempt failed. Attempts that started together fail together and count as one failure. */
+  /**
+   * Records a failed attempt. Attempts that started together are expected to fail together, so they
+   * count as one failure.
+   */
   public void attemptFailed(HostId host, long now) {
     HostBackoff backoff = endAttempt(host);
     if (backoff != null) {
@@ -91,12 +101,12 @@
     }
   }
 
-  /** An attempt was cancelled while it was in flight, which says nothing of the host. */
+  /** Records that the router cancelled an attempt, which says nothing about the host. */
   public void attemptCancelled(HostId host) {
     endAttempt(host);
   }
 
-  /** Returns the host's backoff, unless the host was forgotten during the attempt. */
+  /** Returns the backoff of the host, or null if the host was forgotten during the attempt. */
   private @Nullable HostBackoff endAttempt(HostId host) {
     HostBackoff backoff = backoffs.get(host);
     if (backoff != null) {
@@ -105,7 +115,7 @@
     return backoff;
   }
 
-  /** Drops what is known of a host that left the endpoint list. */
+  /** Drops the state of a host that was removed from the endpoint list. */
   public void forget(HostId host) {
     backoffs.remove(host);
   }
--- a/router/src/main/java/rushwood/overload/ConnectionAdmission.java
+++ b/router/src/main/java/rushwood/overload/ConnectionAdmission.java
@@ -1,11 +1,12 @@
 package rushwood.overload;
 
 /**
- * Knows the connections of all clients and what each of them does, how many there may be, and by
- * {@link EvictionPolicy} which of them has to end for others. Times are clock times in nanoseconds.
+ * Keeps track of all client connections and their states, limits their number, and chooses with an
+ * {@link EvictionPolicy} which of them to close or refuse. Times are clock times in nanoseconds.
  *
- * <p>Every call takes constant time, but for {@link #decideOverLimit}, which also moves connections
- * whose Retry-After time is over. Only decisions allocate.
+ * <p>Every call takes constant time, except {@link #decideOverLimit}, which also updates
+ * connections whose Retry-After time is over. Only {@link #admit} and the decisions allocate
+ * memory.
  */
 public final class ConnectionAdmission {
   private final ConnectionsByState connections = new ConnectionsByState();
@@ -16,40 +17,45 @@
   /**
    * Creates an admission without connections.
    *
-   * @param maxConnections how many connections there may be
-   * @param maxRetryAfterNanos the longest Retry-After time that clients are told
+   * @param maxConnections the limit on open client connections
+   * @param maxRetryAfterNanos the longest Retry-After that a client is told
    */
   public ConnectionAdmission(int maxConnections, long maxRetryAfterNanos) {
     this.maxConnections = maxConnections;
     evictionPolicy = new EvictionPolicy(connections, reuseEstimate, maxRetryAfterNanos);
   }
 
-  /** How many connections are admitted; may exceed the limit until the caller has closed some. */
+  /**
+   * Returns the number of admitted connections. It may exceed the limit until the caller has closed
+   * some.
+   */
   public int openConnections() {
     return connections.count();
   }
 
-  /** How many connections are in that state. */
+  /** Returns the number of connections in a state. */
   public int openConnections(ConnectionState state) {
     return connections.count(state);
   }
 
-  /** How many connections there may be. */
+  /** Returns the limit on open client connections. */
   public int maxConnections() {
     return maxConnections;
   }
 
-  /** Changes how many connections there may be, one at least. */
+  /** Sets the limit on open client connections; a limit below 1 counts as 1. */
   public void setMaxConnections(int maxConnections) {
     this.maxConnections = Math.max(1, maxConnections);
   }
 
-  /** Whether connections must be closed. */
+  /** Returns whether there are more connections than the limit allows. */
   public boolean isOverLimit() {
     return connections.count() > maxConnections;
   }
 
-  /** Admits a connection, also above the limit. The caller removes it when it closes. */
+  /**
+   * Admits a connection, even above the limit. The caller removes it when the connection closes.
+   */
   public AdmittedConnection admit(Object owner, long now) {
     AdmittedConnection connection = new AdmittedConnection(owner, now);
     connections.add(connection);
@@ -57,8 +63,8 @@
   }
 
   /**
-   * Sets what the connection does from now on; has no effect on a removed one. Setting the same
-   * state again starts it anew, except for {@code NEW}: there the time of the accept counts.
+   * Sets the state of a connection; has no effect on a removed one. Setting the same state again
+   * restarts the time in that state, except for {@code NEW}, which counts from the accept.
    */
   public void setState(AdmittedConnection connection, ConnectionState state, long now) {
     boolean isStillNew = state == ConnectionState.NEW && connection.state() == state;
@@ -67,35 +73,40 @@
     }
   }
 
-  /** Removes a connection that is closed; has no effect on a removed one. */
+  /** Removes a closed connection; has no effect if it has been removed already. */
   public void remove(AdmittedConnection connection) {
     if (!connection.isRemoved()) {
       connections.remove(connection);
     }
   }
 
-  /** A request arrived; {@code onUsedConnection} unless it is the first on its connection. */
-  public void recordRequest(boolean onUsedConnection) {
-    reuseEstimate.recordRequest(onUsedConnection);
+  /**
+   * Records the arrival of a request.
+   *
+   * @param onReusedConnection whether an earlier request came on the same connection
+   */
+  public void recordRequest(boolean onReusedConnection) {
+    reuseEstimate.recordRequest(onReusedConnection);
   }
 
   /**
-   * From now on clients that lose a connection cannot open another here, so that only connections
-   * that have never sent a request are closed for others; idle ones are kept.
+   * Keeps idle connections open from now on: during shutdown a client that loses its connection
+   * cannot open another one here. Only connections that have never sent a request are still closed
+   * or refused.
    */
   public void startShutdown() {
     evictionPolicy.startShutdown();
   }
 
   /**
-   * Which connection has to end while {@link #isOverLimit}. Call this only after all sockets were
-   * read: under CPU shortage a first request may wait there unread.
+   * Chooses the connection to close or refuse while {@link #isOverLimit}. Call this only after all
+   * sockets have been read: under CPU shortage a first request may still be unread in its socket.
    */
   public EvictionDecision decideOverLimit(long now) {
     return evictionPolicy.decideOverLimit(now);
   }
 
-  /** Which connection has to end although the limit is not reached. */
+  /** Chooses the idle connection to close, if any, although the limit is not exceeded. */
   public EvictionDecision decideBelowLimit(long now) {
     return evictionPolicy.decideBelowLimit(maxConnections, now);
   }
--- a/router/src/main/java/rushwood/overload/ConnectionList.java
+++ b/router/src/main/java/rushwood/overload/ConnectionList.java
@@ -4,14 +4,15 @@
 import rushwood.api.Times;
 
 /**
- * Connections in the order in which they were added: a doubly linked ring of the connections
- * themselves, closed by a sentinel. Every call takes constant time and allocates nothing.
+ * A list of connections in the order in which they were added: a circular doubly linked list with a
+ * sentinel, whose nodes are the connections themselves. Every call takes constant time and
+ * allocates nothing.
  */
 final class ConnectionList {
   private final AdmittedConnection sentinel = new AdmittedConnection(this, Times.LONG_AGO);
   private int length;
 
-  /** Adds a connection that is in no list. */
+  /** Appends a connection that is in no list. */
   void add(AdmittedConnection connection) {
     connection.linkBefore(sentinel);
     length++;
--- a/router/src/main/java/rushwood/overload/ConnectionReuseEstimate.java
+++ b/router/src/main/java/rushwood/overload/ConnectionReuseEstimate.java
@@ -1,20 +1,24 @@
 package rushwood.overload;
 
 /**
- * Estimates which share of the requests comes on a connection that had one before: an exponentially
- * weighted average over the requests, which begins with all of them.
+ * Estimates the share of requests that arrive on a reused connection: an exponentially weighted
+ * moving average over the requests, with an initial value of 1.
  */
 final class ConnectionReuseEstimate {
-  // Below this share most clients send one request and keep the connection without using it.
+  // Below this share most clients send one request and then leave the connection open unused.
   private static final double MIN_REUSE_SHARE = 0.5;
-  // Weight of the latest request: about fifty requests count.
+  // The weight of the latest request: the average covers about fifty requests.
   private static final double SMOOTHING_WEIGHT = 0.02;
 
   private double reuseShare = 1;
 
-  /** A request arrived; {@code onUsedConnection} unless it is the first on its connection. */
-  void recordRequest(boolean onUsedConnection) {
-    reuseShare += ((onUsedConnection ? 1 : 0) - reuseShare) * SMOOTHING_WEIGHT;
+  /**
+   * Records the arrival of a request.
+   *
+   * @param onReusedConnection whether an earlier request came on the same connection
+   */
+  void recordRequest(boolean onReusedConnection) {
+    reuseShare += ((onReusedConnection ? 1 : 0) - reuseShare) * SMOOTHING_WEIGHT;
   }
 
   boolean isReuseRare() {
--- a/router/src/main/java/rushwood/overload/ConnectionState.java
+++ b/router/src/main/java/rushwood/overload/ConnectionState.java
@@ -1,13 +1,15 @@
 package rushwood.overload;
 
-/** What the connection of a client does, as far as it matters for closing it. */
+/** The state of a client connection, as far as it decides whether it may be closed. */
 public enum ConnectionState {
-  /** It has not sent a request since it was accepted. */
+  /** The connection has not sent a request since it was accepted. */
   NEW,
-  /** Its last request was answered. */
+  /** The last request was answered. */
   IDLE,
-  /** Its last request was rejected with a Retry-After time. */
+  /** The last request was rejected with a Retry-After time. */
   AWAITING_RETRY,
-  /** It has a request, or has sent a part of a message; it is never closed. */
+  /**
+   * A request is pending or a part of a message has arrived; never closed for other connections.
+   */
   BUSY
 }
--- a/router/src/main/java/rushwood/overload/ConnectionsByState.java
+++ b/router/src/main/java/rushwood/overload/ConnectionsByState.java
@@ -2,9 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/**
- * The admitted connections, each in the list of its state, in the order in which they entered it.
- */
+/** The admitted connections, in one list for each state, ordered by when they entered the state. */
 final class ConnectionsByState {
   private final ConnectionList[] lists = new ConnectionList[ConnectionState.values().length];
   private int count;
@@ -23,16 +21,20 @@
     return list(state).length();
   }
 
-  /** Adds a new connection, in the state in which it was created. */
+  /** Adds a connection to the list of its current state. */
   void add(AdmittedConnection connection) {
     list(connection.state()).add(connection);
     count++;
   }
 
-  /** Moves a connection to the end of the list of a state, also if it is in that state already. */
-  void move(AdmittedConnection connection, ConnectionState state, long since) {
+  /**
+   * Moves a connection to the end of the list of a state, even if it is in that state already.
+   *
+   * @param enteredAt the clock time in nanoseconds at which the connection entered the state
+   */
+  void move(AdmittedConnection connection, ConnectionState state, long enteredAt) {
     list(connection.state()).remove(connection);
-    connection.enterState(state, since);
+    connection.enterState(state, enteredAt);
     list(state).add(connection);
   }
 
@@ -42,12 +44,12 @@
     count--;
   }
 
-  /** The connection that entered the state first. */
+  /** Returns the connection that has been in the state for longest, null if there is none. */
   @Nullable AdmittedConnection oldest(ConnectionState state) {
     return list(state).oldest();
   }
 
-  /** The connection that entered the state last. */
+  /** Returns the connection that entered the state last, null if there is none. */
   @Nullable AdmittedConnection newest(ConnectionState state) {
     return list(state).newest();
   }
--- a/router/src/main/java/rushwood/overload/DescriptorBudget.java
+++ b/router/src/main/java/rushwood/overload/DescriptorBudget.java
@@ -3,26 +3,26 @@
 import rushwood.api.Times;
 
 /**
- * Divides the sockets that the process may hold between clients and backends, by what backends turn
- * out to need.
+ * Divides the sockets that the process may hold between client and backend connections, according
+ * to the recent need of the backend connections.
  *
- * <p>Connections to backends are few and busy, those of clients are many and mostly idle. The rule:
+ * <p>Backend connections are few and busy, client connections are many and mostly idle. The rules:
  *
  * <ul>
- *   <li>Backends have a quarter more than their recent peak ({@link #BACKEND_HEADROOM}), and {@link
- *       #MIN_BACKEND_SHARE} at least; if they need more, the limit of clients falls at the next
- *       accept; until then only idle connections to backends make room.
- *   <li>Clients have the rest, and {@link #MIN_CLIENT_PERCENT} of all sockets at least.
+ *   <li>Backend connections get their recent peak times {@link #BACKEND_HEADROOM}, and at least
+ *       {@link #MIN_BACKEND_SHARE} of all sockets. If they need more, the client limit is lowered
+ *       at the next accept; until then only idle backend connections make room.
+ *   <li>Client connections get the rest, and at least {@link #MIN_CLIENT_PERCENT} of all sockets.
  * </ul>
  *
- * <p>Counts are of sockets, times are clock times in nanoseconds.
+ * <p>Times are clock times in nanoseconds.
  */
 public final class DescriptorBudget {
   private static final int MIN_TOTAL = 5;
   private static final int MIN_CLIENT_PERCENT = 60;
-  // For a start, and for the first moment of an outage.
+  // Covers a start and the first moment of an outage, when no recent peak is known.
   private static final double MIN_BACKEND_SHARE = 0.125;
-  // A burst of connections to backends finds room before clients are closed.
+  // A burst of backend connections finds room before client connections are closed.
   private static final double BACKEND_HEADROOM = 1.25;
   private static final long PEAK_HALF_LIFE_NANOS = 10_000_000_000L;
 
@@ -32,12 +32,12 @@
   private int openBackends;
   private int openClients;
 
-  /** Creates the budget of {@code total} sockets, five at least. */
+  /** Creates a budget of {@code total} sockets; fewer than five count as five. */
   public DescriptorBudget(int total) {
     this.total = Math.max(MIN_TOTAL, total);
   }
 
-  /** Reports how many connections to backends are open or opening. */
+  /** Sets how many backend connections are open or being opened. */
   public void setOpenBackendConnections(int open, long now) {
     openBackends = open;
     if (open >= decayedPeak(now)) {
@@ -46,12 +46,12 @@
     }
   }
 
-  /** Reports how many connections of clients are open. */
+  /** Sets how many client connections are open. */
   public void setOpenClientConnections(int open) {
     openClients = open;
   }
 
-  /** How many connections of clients there may be now. */
+  /** Returns how many client connections there may be now. */
   public int maxClientConnections(long now) {
     double neededByBackends = Math.max(openBackends, decayedPeak(now)) * BACKEND_HEADROOM;
     double minForBackends = total * MIN_BACKEND_SHARE;
@@ -59,7 +59,10 @@
     return Math.max(minClients(), total - reserved);
   }
 
-  /** How many connections to backends there may be: what clients leave, one at least. */
+  /**
+   * Returns how many backend connections there may be: the sockets that client connections neither
+   * use nor are guaranteed, at least one.
+   */
   public int maxBackendConnections() {
     return Math.max(1, total - Math.max(openClients, minClients()));
   }
--- a/router/src/main/java/rushwood/overload/EvictionDecision.java
+++ b/router/src/main/java/rushwood/overload/EvictionDecision.java
@@ -2,20 +2,23 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Which connection of a client has to end for others, and how; made by {@link EvictionPolicy}. */
+/** The client connection that {@link EvictionPolicy} has chosen to close or refuse, if any. */
 public final class EvictionDecision {
-  /** What is to be done with the connection. */
+  /** What the caller has to do with the connection. */
   public enum Action {
-    /** Close it: its first request is overdue. */
+    /** Close the connection: its first request has not arrived in time. */
     CLOSE_UNUSED,
-    /** Close it: it has been idle for longest. */
+    /** Close the connection: it has been idle for longest. */
     CLOSE_IDLE,
-    /** Answer it with an error and close it: it is the newest without a request. */
+    /** Send an error and close the connection: it is the newest that has not sent a request. */
     REFUSE_NEWEST,
-    /** Nothing: no connection may be closed or refused now. */
+    /** Do nothing: no connection may be closed or refused now. */
     NONE;
 
-    /** Whether a connection is closed that was served, or had its time to send a request. */
+    /**
+     * Returns whether the action closes a connection that was served or has had its time to send a
+     * first request.
+     */
     public boolean isClose() {
       return this == CLOSE_UNUSED || this == CLOSE_IDLE;
     }
@@ -35,19 +38,19 @@
     return new EvictionDecision(action, connection);
   }
 
-  /** What is to be done. */
+  /** Returns what the caller has to do. */
   public Action action() {
     return action;
   }
 
   /**
-   * The connection that has to end.
+   * Returns the connection to close or refuse.
    *
    * @throws IllegalStateException if the action is {@link Action#NONE}
    */
   public AdmittedConnection connection() {
     if (connection == null) {
-      throw new IllegalStateException("no connection has to end");
+      throw new IllegalStateException("no connection to close or refuse: the action is NONE");
     }
     return connection;
   }
--- a/router/src/main/java/rushwood/overload/EvictionPolicy.java
+++ b/router/src/main/java/rushwood/overload/EvictionPolicy.java
@@ -4,28 +4,28 @@
 import rushwood.overload.EvictionDecision.Action;
 
 /**
- * Decides which connection of a client ends so that others find a descriptor.
+ * Decides which client connection to close or refuse to free a descriptor.
  *
- * <p>{@linkplain #decideOverLimit Over the limit} the first of these cases holds:
+ * <p>{@linkplain #decideOverLimit Over the limit} the first of these cases applies:
  *
  * <ol>
- *   <li>No first request has come within {@link #FIRST_REQUEST_TIMEOUT_NANOS} of the accept: close
- *       the oldest such connection. Clients that mean to send a request do so at once.
- *   <li>A connection has been idle for {@link #MIN_IDLE_NANOS}, and the router does not shut down:
+ *   <li>A connection has sent no request within {@link #FIRST_REQUEST_TIMEOUT_NANOS} of its accept:
+ *       close the oldest such connection. Clients usually send their first request at once.
+ *   <li>A connection has been idle for {@link #MIN_IDLE_NANOS} and the router is not shutting down:
  *       close the one that has been idle for longest. During shutdown its client could not open
- *       another one here.
- *   <li>There is a connection without a first request: refuse the newest, which has waited least.
- *   <li>Else none: all others have a request, were idle a moment ago, or wait for the Retry-After
- *       time that their clients were told.
+ *       another connection here.
+ *   <li>A connection has not sent a request yet: refuse the newest, which has waited least.
+ *   <li>Otherwise none: every connection is busy, has not been idle for long enough, waits for its
+ *       Retry-After time, or is kept during shutdown.
  * </ol>
  *
- * <p>{@linkplain #decideBelowLimit Below the limit} the second case holds too, where few clients
- * {@linkplain ConnectionReuseEstimate reuse} their connection and more than an eighth of the
- * allowed connections are idle. A proxy that allows each router a number of connections has none
- * left for other clients otherwise.
+ * <p>{@linkplain #decideBelowLimit Below the limit} the second case applies as well if few clients
+ * {@linkplain ConnectionReuseEstimate reuse} their connections and more than {@link
+ * #MAX_IDLE_SHARE} of the allowed connections are idle. Otherwise a proxy that limits its
+ * connections to each router would have none left for other clients.
  *
- * <p>A client that has not returned {@link #RETURN_TOLERANCE_NANOS} after the longest Retry-After
- * time counts as idle since the end of that time.
+ * <p>A connection whose client has not returned within {@link #RETURN_TOLERANCE_NANOS} after the
+ * longest Retry-After time counts as idle since the end of that time.
  */
 final class EvictionPolicy {
   private static final long MIN_IDLE_NANOS = 100_000_000L;
@@ -38,7 +38,7 @@
   private final long maxRetryAfterNanos;
   private boolean shuttingDown;
 
-  /** Decides over the given connections, which their owner keeps up to date. */
+  /** Creates a policy for the given connections, which the caller keeps up to date. */
   EvictionPolicy(
       ConnectionsByState connections,
       ConnectionReuseEstimate reuseEstimate,
@@ -48,12 +48,12 @@
     this.maxRetryAfterNanos = maxRetryAfterNanos;
   }
 
-  /** From now on idle connections are kept. */
+  /** Keeps idle connections open from now on. */
   void startShutdown() {
     shuttingDown = true;
   }
 
-  /** Which connection ends while there are more than allowed. */
+  /** Chooses the connection to close or refuse while there are more than the limit. */
   EvictionDecision decideOverLimit(long now) {
     moveOverdueRetriesToIdle(now);
     AdmittedConnection oldestNew = connections.oldest(ConnectionState.NEW);
@@ -70,7 +70,7 @@
         : EvictionDecision.of(Action.REFUSE_NEWEST, newestNew);
   }
 
-  /** Which connection ends although there are no more than {@code maxConnections}. */
+  /** Chooses the idle connection to close, if any, with at most {@code maxConnections} open. */
   EvictionDecision decideBelowLimit(int maxConnections, long now) {
     boolean manyIdle = connections.count(ConnectionState.IDLE) > maxConnections * MAX_IDLE_SHARE;
     AdmittedConnection idle =
--- a/router/src/main/java/rushwood/overload/FingerprintCache.java
+++ b/router/src/main/java/rushwood/overload/FingerprintCache.java
@@ -1,16 +1,17 @@
 package rushwood.overload;
 
 /**
- * Remembers a value for each of a limited number of fingerprints until a time: a set-associative
- * cache in arrays of fixed size. In a full bucket the entry that expires first is evicted.
+ * A set-associative cache of fixed size that holds a value for a fingerprint until an expiry time.
+ * If a bucket is full, the entry that expires first is evicted. Times are clock times in
+ * nanoseconds.
  */
 final class FingerprintCache {
-  /** What {@link #get} returns where nothing is remembered; values are 0 or more. */
+  /** Returned by {@link #get} for a fingerprint without a value; values are never negative. */
   static final long ABSENT = -1;
 
   private static final long EXPIRED = 0;
   private static final int ENTRIES_PER_BUCKET = 4;
-  // 4,096 fingerprints: half a second of 8,000 rejected requests a second.
+  // 4,096 fingerprints: half a second of 8,000 rejected requests per second.
   private static final int BUCKETS_FOR_REPEATS = 1 << 10;
 
   private final long[] fingerprints;
@@ -21,7 +22,7 @@
   /**
    * Creates an empty cache.
    *
-   * @param buckets how many buckets of four entries there are
+   * @param buckets the number of buckets, of four entries each
    * @throws IllegalArgumentException unless {@code buckets} is a power of two
    */
   FingerprintCache(int buckets) {
@@ -34,30 +35,35 @@
     values = new long[buckets * ENTRIES_PER_BUCKET];
   }
 
-  /** Creates a cache for the repeats that an overloaded router sees; a tiny one if unused. */
-  static FingerprintCache forRepeats(boolean used) {
-    return new FingerprintCache(used ? BUCKETS_FOR_REPEATS : 1);
+  /** Creates a cache sized for an overloaded router, or a minimal one unless {@code enabled}. */
+  static FingerprintCache forRepeats(boolean enabled) {
+    return new FingerprintCache(enabled ? BUCKETS_FOR_REPEATS : 1);
   }
 
-  /** Bytes held by the entries, whether they are used or not. */
+  /** Returns the size of all entries in bytes, used or not. */
   long memoryBytes() {
     return 3L * Long.BYTES * fingerprints.length;
   }
 
   /**
-   * Remembers a value, 0 or more, until {@code expires} or until its bucket overflows. It replaces
-   * an earlier value of that fingerprint.
+   * Stores a value, replacing an earlier one of the same fingerprint. It is kept until {@code
+   * expiry} unless its bucket overflows.
+   *
+   * @param value must not be negative
    */
-  void put(long fingerprint, long expires, long value, long now) {
+  void put(long fingerprint, long expiry, long value, long now) {
     int start = bucketStart(fingerprint);
     int entry = findReplaceable(start, fingerprint, now);
     remove(fingerprint);
     fingerprints[entry] = fingerprint;
-    expiresAt[entry] = expires;
+    expiresAt[entry] = expiry;
     values[entry] = value;
   }
 
-  /** The first entry of that fingerprint or expired; if there is none the next to expire. */
+  /**
+   * Returns the first entry of the bucket that has this fingerprint or has expired, or else the
+   * entry that expires first.
+   */
   private int findReplaceable(int start, long fingerprint, long now) {
     int nextToExpire = start;
     for (int i = start; i < start + ENTRIES_PER_BUCKET; i++) {
@@ -69,7 +75,7 @@
     return nextToExpire;
   }
 
-  /** The value that is remembered now, or {@link #ABSENT}. */
+  /** Returns the value of a fingerprint, or {@link #ABSENT} if there is none or it has expired. */
   long get(long fingerprint, long now) {
     int start = bucketStart(fingerprint);
     for (int i = start; i < start + ENTRIES_PER_BUCKET; i++) {
@@ -80,7 +86,7 @@
     return ABSENT;
   }
 
-  /** Forgets the value of that fingerprint, if there is one. */
+  /** Removes the value of a fingerprint, if there is one. */
   void remove(long fingerprint) {
     int start = bucketStart(fingerprint);
     for (int i = start; i < start + ENTRIES_PER_BUCKET; i++) {
--- a/router/src/main/java/rushwood/overload/GroupStatistics.java
+++ b/router/src/main/java/rushwood/overload/GroupStatistics.java
@@ -1,6 +1,6 @@
 package rushwood.overload;
 
-/** What is known of the requests of a group. */
+/** The overload detector, the unanswered requests and the retry budget of a group. */
 final class GroupStatistics {
   private final OverloadDetector detector = new OverloadDetector();
   private final UnansweredRequests unansweredRequests = new UnansweredRequests();
--- a/router/src/main/java/rushwood/overload/OverloadControlSignals.java
+++ b/router/src/main/java/rushwood/overload/OverloadControlSignals.java
@@ -6,7 +6,9 @@
 import rushwood.api.OverloadSignals;
 import rushwood.api.Request;
 
-/** Answers the routing policy's questions, and records what the policy says with them. */
+/**
+ * Answers the routing policy from the overload statistics, and records its rejections and attempts.
+ */
 final class OverloadControlSignals implements OverloadSignals {
   private final OverloadStatistics statistics;
   private final RetryAfterAdvisor retryAfterAdvisor;
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -17,13 +17,13 @@
 import rushwood.api.Times;
 
 /**
- * Decorates the routing policy of a router: observes its events and actions, detects overload in
- * them, and gives the policy the {@link OverloadSignals} that it asks for.
+ * Decorates the routing policy of a router: observes its events and actions, detects overload from
+ * them, and provides the {@link OverloadSignals} that the policy asks for.
  *
  * <p>Every event is passed on to the policy and every action to the dispatcher, in order and
- * unchanged, but for two: a request that returns after a Retry-After carries that wait; and where
- * the operator wants it, a write is failed instead of passed on while an earlier one of the same
- * fingerprint may still be executed.
+ * unchanged, with two exceptions: a request that returns after a Retry-After is passed on with the
+ * time that it waited; and if the operator enables it, a write is failed instead of passed on while
+ * an earlier one of the same fingerprint is {@linkplain AmbiguousWrites ambiguous}.
  */
 public final class OverloadController implements RoutingPolicy {
   private final RoutingSettings settings;
@@ -41,14 +41,14 @@
   private long nextTickAt = Times.LONG_AGO;
 
   /**
-   * Creates the controller and the policy behind it.
+   * Creates the controller and the policy that it decorates.
    *
    * @param settings the settings of the routing policy
-   * @param overloadSettings the operator's settings of this module
-   * @param connectBackoff shared with the connection pool, which records the attempts
+   * @param overloadSettings the operator's settings of overload control
+   * @param connectBackoff shared with the connection pool, which records connection attempts in it
    * @param answerDelayNanos see {@link OverloadSignals#answerDelayNanos}
    * @param actions carries out what the policy decides
-   * @param policyFactory creates the policy, from the signals it may ask and the actions it may use
+   * @param policyFactory creates the policy from the signals and the actions that it may use
    */
   public OverloadController(
       RoutingSettings settings,
@@ -74,30 +74,30 @@
     policy = policyFactory.apply(signals, trackingActions);
   }
 
-  /** Counts since the start; they go on counting. */
+  /** Returns the live counts of detections and decisions since the start. */
   public OverloadCounts counts() {
     return counts;
   }
 
   /**
-   * The wait in nanoseconds to tell a client whose connection is refused, 0 for none. No request is
-   * known yet, so the reservation belongs to no group.
+   * Returns the Retry-After in nanoseconds for a client whose connection is refused, 0 for none.
+   * Its request is not known yet, so a reservation belongs to no group.
    */
   public long retryAfterForRefusedConnection(long now) {
     return retryAfterAdvisor.adviseRefusedConnection(now);
   }
 
-  /** The signals that the policy asks for. */
+  /** Returns the signals that were passed to the policy. */
   OverloadSignals signals() {
     return signals;
   }
 
-  /** The state of the whole router. */
+  /** Returns the state of the whole router. */
   OverloadState state() {
     return statistics.routerState();
   }
 
-  /** The state of a group; normal if the endpoint list does not name it. */
+  /** Returns the state of a group, normal if the group has no host in the endpoint list. */
   OverloadState state(GroupId group) {
     return statistics.groupState(group);
   }
@@ -186,7 +186,7 @@
     policy.timerFired(now);
   }
 
-  /** Ends a tick before the event if one is due. */
+  /** Sets the time of an event, and ends a tick before the event if one is due. */
   private void startEvent(long now) {
     trackingActions.eventStarted(now);
     if (now < nextTickAt) {
--- a/router/src/main/java/rushwood/overload/OverloadCounts.java
+++ b/router/src/main/java/rushwood/overload/OverloadCounts.java
@@ -1,6 +1,6 @@
 package rushwood.overload;
 
-/** Counts of the overload controller's decisions since the start. */
+/** Counts what the overload controller has detected and decided since the start. */
 public final class OverloadCounts {
   private long repeatedRequests;
   private long returnedAsAdvised;
@@ -12,37 +12,42 @@
 
   OverloadCounts() {}
 
-  /** Requests that repeat one which had no answer. */
+  /** Returns the number of requests that repeated an unanswered one. */
   public long repeatedRequests() {
     return repeatedRequests;
   }
 
-  /** Requests that came back at about the time their client was told. */
+  /** Returns the number of requests that returned in time after a Retry-After. */
   public long returnedAsAdvised() {
     return returnedAsAdvised;
   }
 
-  /** Retry-After times for which the schedule had room. */
+  /** Returns the number of Retry-After times for which the schedule had room. */
   public long reserved() {
     return reserved;
   }
 
-  /** Retry-After times of the maximum, told because the schedule was full. */
+  /**
+   * Returns the number of Retry-After times set to the maximum because the schedule had no room.
+   */
   public long unreserved() {
     return unreserved;
   }
 
-  /** Retries that the budget of an overloaded group did not allow. */
+  /** Returns the number of retries that the retry budget of a group denied. */
   public long retriesDenied() {
     return retriesDenied;
   }
 
-  /** Writes failed unsent because an earlier one of that fingerprint may have been executed. */
+  /**
+   * Returns the number of writes that were failed without being sent because an earlier write of
+   * the same fingerprint may have been executed.
+   */
   public long ambiguousWritesFailed() {
     return ambiguousWritesFailed;
   }
 
-  /** Changes of state of all detectors. */
+  /** Returns the number of state changes of all overload detectors. */
   public long stateChanges() {
     return stateChanges;
   }
--- a/router/src/main/java/rushwood/overload/OverloadDetector.java
+++ b/router/src/main/java/rushwood/overload/OverloadDetector.java
@@ -1,27 +1,26 @@
 package rushwood.overload;
 
 /**
- * Tells from the rates of one router, group or host whether it is overloaded: requests are refused
- * and clients repeat them faster than they can be served. High load alone is no overload: a peak of
- * first requests leaves the state normal however high it is.
+ * Detects overload of one router, group or host from its rates: requests are refused and clients
+ * repeat them faster than they can be served. High load alone is not overload: a peak of requests
+ * without repeats leaves the state normal, however high it is.
  *
- * <p>The state changes when a sign holds for several ticks in a row. Shares are of the arrivals,
- * from smoothed rates:
+ * <p>The state changes when a condition holds for a number of consecutive ticks. The conditions
+ * compare the smoothed rates of refusals and repeats, as shares of the arrivals:
  *
  * <ul>
- *   <li>normal to rising: refused and repeated both above {@link #RISING_SHARE}, for {@link
- *       #TICKS_TO_RISING};
- *   <li>rising or recovering to overloaded: refused above {@link #OVERLOADED_REFUSED_SHARE} and
- *       repeated above {@link #OVERLOADED_REPEATED_SHARE}, for {@link #TICKS_TO_OVERLOADED};
- *   <li>rising to normal, and overloaded to recovering: not both above {@link #RISING_SHARE}, for
- *       {@link #TICKS_TO_RECOVERING};
- *   <li>recovering to normal: refused below {@link #RECOVERED_REFUSED_SHARE} and repeated below
- *       {@link #RISING_SHARE}, for {@link #TICKS_TO_NORMAL}.
+ *   <li>normal to rising: both shares above {@link #RISING_SHARE} for {@link #TICKS_TO_RISING};
+ *   <li>rising or recovering to overloaded: refusals above {@link #OVERLOADED_REFUSED_SHARE} and
+ *       repeats above {@link #OVERLOADED_REPEATED_SHARE} for {@link #TICKS_TO_OVERLOADED};
+ *   <li>rising to normal, and overloaded to recovering: not both shares above {@link #RISING_SHARE}
+ *       for {@link #TICKS_TO_RECOVERING};
+ *   <li>recovering to normal: refusals below {@link #RECOVERED_REFUSED_SHARE} and repeats below
+ *       {@link #RISING_SHARE} for {@link #TICKS_TO_NORMAL}.
  * </ul>
  *
- * <p>Leaving a state so needs weaker rates than entering it (hysteresis). With {@link
- * #MIN_ARRIVALS_PER_TICK} or fewer arrivals a tick shares say nothing, and the state goes back to
- * normal.
+ * <p>The overloaded state is left at lower shares than it is entered (hysteresis). With {@link
+ * #MIN_ARRIVALS_PER_TICK} or fewer arrivals per tick the shares are meaningless, and the state
+ * returns to normal by the usual steps.
  */
 final class OverloadDetector {
   /** The interval between two calls of {@link #tick}, in nanoseconds. */
@@ -30,65 +29,73 @@
   private static final double NANOS_PER_SECOND = 1e9;
   private static final int TICKS_PER_SECOND = (int) (NANOS_PER_SECOND / TICK_NANOS);
 
-  // Weight of the latest tick in the smoothed rates: about three ticks count, so a burst within
-  // one tick is no sign.
+  // The weight of the latest tick in the smoothed rates. They cover about three ticks, so a burst
+  // within one tick does not change the state.
   private static final double SMOOTHING_WEIGHT = 0.3;
-  // What is left of the peak rate after a tick: half of it after 35 s.
+  // The factor by which the peak rate decays per tick: to half in 35 s.
   private static final double PEAK_DECAY = 0.998;
   private static final double MIN_ARRIVALS_PER_TICK = 1;
   private static final double RISING_SHARE = 0.1;
-  // With so many refused and repeated a request soon takes three tries.
+  // At these shares of refusals and repeats, a request soon takes three tries.
   private static final double OVERLOADED_REFUSED_SHARE = 0.3;
   private static final double OVERLOADED_REPEATED_SHARE = 0.25;
   private static final double RECOVERED_REFUSED_SHARE = 0.05;
-  // One bad tick shows in the smoothed rates for three.
+  // A single bad tick raises the smoothed rates for about three ticks.
   private static final int TICKS_TO_RISING = 4;
   private static final int TICKS_TO_OVERLOADED = 3;
   private static final int TICKS_TO_RECOVERING = 5;
-  // The longest Retry-After has passed by then.
+  // By then the longest Retry-After has passed.
   private static final int TICKS_TO_NORMAL = 10;
 
   private int arrivalsInTick;
   private int repeatsInTick;
   private int refusedInTick;
   private int completedInTick;
-  // Smoothed, per tick.
+  // Smoothed rates per tick.
   private double arrivals;
   private double repeats;
   private double refused;
   private double completed;
   private double peakCompleted;
   private OverloadState state = OverloadState.NORMAL;
+  // Consecutive ticks in which the condition for a worse or a better state held.
   private int worseningTicks;
   private int improvingTicks;
 
-  /** A request arrived; {@code repeated} if it repeats one that had no answer. */
+  /**
+   * Records the arrival of a request.
+   *
+   * @param repeated whether it repeats an unanswered request
+   */
   void recordArrival(boolean repeated) {
     arrivalsInTick++;
     repeatsInTick += repeated ? 1 : 0;
   }
 
-  /** A request was rejected or timed out, or its host could not be reached. */
+  /**
+   * Records a refusal: a rejected request or an attempt that timed out; in the detector of a host
+   * also an attempt that found no connection or was refused by the overloaded host.
+   */
   void recordRefused() {
     refusedInTick++;
   }
 
-  /** An attempt succeeded. */
+  /** Records a successful attempt. */
   void recordCompleted() {
     completedInTick++;
   }
 
-  /** The state as of the last tick. */
+  /** Returns the state as of the last tick. */
   OverloadState state() {
     return state;
   }
 
-  /** Successful attempts a second, smoothed over the last ticks. */
+  /** Returns the number of successful attempts per second, smoothed over the last ticks. */
   double completionRate() {
     return completed * NANOS_PER_SECOND / TICK_NANOS;
   }
 
-  /** The highest {@link #completionRate} seen; it decays to half within 35 s. */
+  /** Returns the highest {@link #completionRate} seen, which decays to half in 35 s. */
   double peakCompletionRate() {
     return peakCompleted * NANOS_PER_SECOND / TICK_NANOS;
   }
@@ -156,10 +163,10 @@
         && repeats > repeatedShare * arrivals;
   }
 
-  /** The state and the smoothed rates a second, for the log. */
+  /** Returns the state and the smoothed rates per second, for the log. */
   @Override
   public String toString() {
-    // One concatenation: a formatter's classes would be loaded in the first busy second of a start.
+    // Not String.format, which would load its classes in the first busy second after the start.
     return state
         + ": arrivals "
         + perSecond(arrivals)
--- a/router/src/main/java/rushwood/overload/OverloadSettings.java
+++ b/router/src/main/java/rushwood/overload/OverloadSettings.java
@@ -3,14 +3,15 @@
 /**
  * The operator's settings of overload control.
  *
- * @param retryAfterSchedule whether Retry-After times come from a schedule; else each is the
- *     longest that may be told, while others wait
- * @param connectBackoff whether connection attempts to hosts that accept none are limited
- * @param retriesPerFirstAttempt how many retries there may be for each first attempt while a group
- *     is overloaded
- * @param minRetriesPerSecond how many retries a second are always allowed, for each group
- * @param failAmbiguousWrites whether a write is failed unsent when it repeats one whose client got
- *     no answer and which may have been executed
+ * @param retryAfterSchedule whether a schedule spreads the Retry-After times; otherwise each is the
+ *     longest allowed, and is told only while other requests wait
+ * @param connectBackoff whether connection attempts to hosts that do not accept connections are
+ *     limited
+ * @param retriesPerFirstAttempt how many retries each first attempt allows while its group is
+ *     overloaded; see {@link RetryBudget}
+ * @param minRetriesPerSecond how many retries per second and group are allowed in any case
+ * @param failAmbiguousWrites whether a write is failed without being sent if it repeats an
+ *     unanswered one that may have been executed
  */
 public record OverloadSettings(
     boolean retryAfterSchedule,
@@ -19,6 +20,6 @@
     double minRetriesPerSecond,
     boolean failAmbiguousWrites) {
 
-  /** The settings that hold where the operator names none. */
+  /** The settings that apply unless the operator sets others. */
   public static final OverloadSettings DEFAULT = new OverloadSettings(true, true, 0.2, 10, false);
 }
--- a/router/src/main/java/rushwood/overload/OverloadState.java
+++ b/router/src/main/java/rushwood/overload/OverloadState.java
@@ -2,23 +2,23 @@
 
 import rushwood.api.LogLevel;
 
-/** The state of the router, a group or a host, from normal to overloaded and back. */
+/** The overload state of the router, a group or a host; see {@link OverloadDetector}. */
 enum OverloadState {
-  /** Few requests are refused, or few of them are repeats. */
+  /** Few requests are refused, or few requests are repeats. */
   NORMAL,
-  /** Requests are refused and repeated more than chance and single clients explain. */
+  /** More requests are refused and repeated than chance or single clients explain. */
   RISING,
   /** A large share of the requests is refused and repeated. */
   OVERLOADED,
   /** Refusals have become rare, but clients may still come back. */
   RECOVERING;
 
-  /** A change to this state is a fault while requests are refused and repeated. */
+  /** Returns the level at which a change to this state is logged. */
   LogLevel logLevel() {
     return this == RISING || this == OVERLOADED ? LogLevel.WARN : LogLevel.INFO;
   }
 
-  /** Whether retries are limited by a budget in this state. */
+  /** Returns whether a budget limits retries in this state. */
   boolean limitsRetries() {
     return this == OVERLOADED || this == RECOVERING;
   }
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -16,9 +16,9 @@
 import rushwood.api.LogLevel;
 
 /**
- * What is known of the router, of each group and of each host: overload detectors, retry budgets,
- * and how many repeats to expect. Groups and hosts are those of the endpoint list; others are
- * ignored.
+ * The overload detectors of the router, of each group and of each host, and for each group its
+ * retry budget and its number of expected repeats. Groups and hosts are those of the endpoint list;
+ * events of others count for the router only.
  */
 final class OverloadStatistics {
   private final OverloadSettings settings;
@@ -30,7 +30,7 @@
   private final Map<HostId, OverloadDetector> hostDetectors = new LinkedHashMap<>();
   private final Map<HostId, GroupId> groupByHost = new LinkedHashMap<>();
 
-  /** Creates statistics without hosts; {@code log} receives a line for each change of state. */
+  /** Creates statistics without hosts; {@code log} receives a line for each state change. */
   OverloadStatistics(
       OverloadSettings settings, OverloadCounts counts, BiConsumer<LogLevel, String> log) {
     this.settings = settings;
@@ -44,7 +44,7 @@
     hostDetectors.computeIfAbsent(endpoint.id(), host -> new OverloadDetector());
   }
 
-  /** Forgets a host, and its group with its last host. */
+  /** Removes a host, and its group if this was the last host in it. */
   void removeHost(HostId host) {
     GroupId group = groupByHost.remove(host);
     hostDetectors.remove(host);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** The known hosts that are not in this list. */
+  /** Returns the known hosts that are not in the list. */
   List<HostId> hostsMissingFrom(List<Endpoint> endpoints) {
     Set<HostId> listed = endpoints.stream().map(Endpoint::id).collect(Collectors.toSet());
     return groupByHost.keySet().stream().filter(host -> !listed.contains(host)).toList();
@@ -63,13 +63,13 @@
     return routerDetector.state();
   }
 
-  /** The state of a group, normal if it is not known. */
+  /** Returns the state of a group, normal if the group is unknown. */
   OverloadState groupState(GroupId id) {
     GroupStatistics group = groups.get(id);
     return group == null ? OverloadState.NORMAL : group.detector().state();
   }
 
-  /** How many requests a second the hosts can be expected to serve. */
+  /** Returns how many requests per second the hosts are expected to serve. */
   double expectedRate() {
     return Math.max(routerDetector.completionRate(), routerDetector.peakCompletionRate() / 2);
   }
@@ -90,7 +90,9 @@
     }
   }
 
-  /** A request of the group ended without an answer: its client may repeat it. */
+  /**
+   * Records that a request of the group ended without an answer, so that its client may repeat it.
+   */
   void recordUnanswered(GroupId id) {
     GroupStatistics group = groups.get(id);
     if (group != null) {
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Takes one from the unanswered requests of the group, and returns whether there was one. */
+  /** Takes one of the unanswered requests of the group; returns whether there was one. */
   boolean takeUnanswered(GroupId id) {
     GroupStatistics group = groups.get(id);
     return group != null && group.unansweredRequests().take();
@@ -133,9 +135,9 @@
   }
 
   /**
-   * Whether the group may have a retry now: always while its state {@linkplain
-   * OverloadState#limitsRetries does not limit} retries, else while its {@link RetryBudget} has a
-   * token. An unknown group is not limited.
+   * Returns whether the group may have a retry now: always unless its state {@linkplain
+   * OverloadState#limitsRetries limits retries}, otherwise while its {@link RetryBudget} has a
+   * token. Retries in an unknown group are not limited.
    */
   boolean isRetryAllowed(long now, GroupId id) {
     GroupStatistics group = groups.get(id);
@@ -144,6 +146,12 @@
         || group.retryBudget().isRetryAllowed(now);
   }
 
+  /**
+   * Records an attempt in the retry budget of its group.
+   *
+   * @param isCostlyRetry whether the attempt follows one of the same request that cost its host
+   *     work
+   */
   void recordAttempt(long now, GroupId id, boolean isCostlyRetry) {
     GroupStatistics group = groups.get(id);
     if (group == null) {
--- a/router/src/main/java/rushwood/overload/RepeatDetector.java
+++ b/router/src/main/java/rushwood/overload/RepeatDetector.java
@@ -4,20 +4,21 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Recognises requests that repeat one which ended without an answer.
+ * Recognises requests that repeat an unanswered one.
  *
- * <p>A request is a repeat if both hold:
+ * <p>A request counts as a repeat if both conditions hold:
  *
  * <ul>
- *   <li>A request of its fingerprint ended without an answer lately: within twice the longest
- *       latency objective and the longest Retry-After time.
- *   <li>More requests of its group ended without an answer than were repeated since. The first
- *       condition alone also holds for requests of other clients with the same fingerprint, of
- *       which there are many where keys are few.
+ *   <li>A request of the same fingerprint recently ended without an answer. The {@link
+ *       RepeatSketch} remembers it at least for twice the longest latency objective plus the
+ *       longest Retry-After time.
+ *   <li>More requests of its group have ended without an answer than have been repeated since. The
+ *       first condition alone also holds for requests of other clients that have the same
+ *       fingerprint, which are frequent if there are few keys.
  * </ul>
  */
 final class RepeatDetector {
-  // 128 KiB in all, for some 5,000 unanswered requests within one delay.
+  // 128 KiB in all; enough for about 5,000 unanswered requests within the longest repeat delay.
   private static final int SKETCH_CELLS_PER_ROW = 1 << 14;
 
   private final RepeatSketch unansweredSketch;
@@ -30,7 +31,7 @@
     this.counts = counts;
   }
 
-  /** How long after the end of a request without an answer its client may repeat it. */
+  /** Returns how long after an unanswered request its client may be expected to repeat it. */
   private static long longestRepeatDelayNanos(RoutingSettings settings) {
     long longestNanos =
         settings.requestClasses().stream()
@@ -40,20 +41,20 @@
     return longestNanos + settings.maxRetryAfterNanos();
   }
 
-  /** A request ended without an answer: its client may repeat it. */
+  /** Records that a request ended without an answer, so that its client may repeat it. */
   void recordUnanswered(long now, Request request) {
     unansweredSketch.add(request.fingerprint(), now);
     statistics.recordUnanswered(request.group());
   }
 
-  /** Whether a request of the same fingerprint ended without an answer lately. */
+  /** Returns whether a request of the same fingerprint recently ended without an answer. */
   boolean isPossibleRepeat(long now, Request request) {
     return request.hasFingerprint() && unansweredSketch.count(request.fingerprint(), now) > 0;
   }
 
   /**
-   * Whether a {@linkplain #isPossibleRepeat possible} repeat is one: then the group expects one
-   * repeat less. To be asked once for each request.
+   * Returns whether a {@linkplain #isPossibleRepeat possible} repeat counts as a repeat; if so, its
+   * group expects one repeat less. Call this at most once per request.
    */
   boolean confirmRepeat(Request request) {
     boolean isRepeat = statistics.takeUnanswered(request.group());
--- a/router/src/main/java/rushwood/overload/RepeatSketch.java
+++ b/router/src/main/java/rushwood/overload/RepeatSketch.java
@@ -4,31 +4,32 @@
 import rushwood.api.Times;
 
 /**
- * Counts how often a fingerprint was added lately, in memory of fixed size: two count-min sketches
- * (Cormode and Muthukrishnan 2005) with conservative update, of which the older one is cleared and
- * reused after each span.
+ * Estimates how often a fingerprint was added recently, in memory of fixed size: two count-min
+ * sketches (Cormode and Muthukrishnan 2005) with conservative update. After each time span the
+ * older one is cleared and becomes the current one.
  *
- * <p>A count is never too low for the last span and includes nothing older than two spans. It is
- * too high only where the fingerprint shares its cell with others in every row.
+ * <p>Up to {@link #MAX_COUNT}, a count is never too low for the last span; it includes nothing
+ * older than two spans. It is too high only if the fingerprint shares its cell with others in every
+ * row.
  */
 public final class RepeatSketch {
-  /** Counts go no higher than this. */
+  /** The value at which counts saturate. */
   public static final int MAX_COUNT = 254;
 
-  // A fingerprint that was never added is counted only if it shares its cell in every row.
+  // A fingerprint that was never added has a count only if its cells collide in every row.
   private static final int ROWS = 4;
 
   private byte[][] current;
   private byte[][] previous;
   private final int mask;
   private final long spanNanos;
-  private long rotateAt = Times.LONG_AGO; // the first call begins a span
+  private long rotateAt = Times.LONG_AGO; // the first call starts a span
 
   /**
    * Creates an empty sketch.
    *
-   * @param cells how many cells each of the four rows has
-   * @param spanNanos how long a fingerprint is remembered at least
+   * @param cells the number of cells in each of the four rows
+   * @param spanNanos the shortest time for which an added fingerprint is counted
    * @throws IllegalArgumentException unless {@code cells} is a power of two
    */
   public RepeatSketch(int cells, long spanNanos) {
@@ -41,12 +42,12 @@
     previous = new byte[ROWS][cells];
   }
 
-  /** Bytes held by the cells, whether they are used or not. */
+  /** Returns the size of all cells in bytes, used or not. */
   long memoryBytes() {
     return 2L * ROWS * (mask + 1);
   }
 
-  /** How often the fingerprint was added lately, {@link #MAX_COUNT} at most. */
+  /** Returns how often the fingerprint was added recently, at most {@link #MAX_COUNT}. */
   public int count(long fingerprint, long now) {
     rotateIfDue(now);
     long hash = SplitMix64.mix(fingerprint);
@@ -59,7 +60,7 @@
     long hash = SplitMix64.mix(fingerprint);
     int next = Math.min(MAX_COUNT, minimum(current, hash) + 1);
     for (int row = 0; row < ROWS; row++) {
-      // Conservative update: a cell that counts others as well is raised to the count only.
+      // Conservative update: a cell that already holds a higher count is left as it is.
       int cell = cell(hash, row);
       current[row][cell] = (byte) Math.max(toCount(current[row][cell]), next);
     }
@@ -85,7 +86,7 @@
     if (rotateAt == Times.LONG_AGO) {
       rotateAt = now + spanNanos;
     }
-    // Two rotations clear both sketches, so more of them change nothing.
+    // Two rotations clear both sketches, so further ones would change nothing.
     for (int i = 0; i < 2 && now >= rotateAt; i++) {
       rotate();
       rotateAt += spanNanos;
--- a/router/src/main/java/rushwood/overload/RequestTracker.java
+++ b/router/src/main/java/rushwood/overload/RequestTracker.java
@@ -8,12 +8,12 @@
 import rushwood.api.RequestId;
 
 /**
- * Follows requests from their arrival until they have their final answer and no attempt is in
- * flight any more. Of those that end without an answer it tells the {@link RepeatDetector}, and
- * {@link AmbiguousWrites} if they may have been executed.
+ * Tracks requests from their arrival until they have ended and none of their attempts is in flight.
+ * Reports requests that end without an answer to the {@link RepeatDetector}, and to {@link
+ * AmbiguousWrites} if they may have been executed.
  */
 final class RequestTracker {
-  // Long after the deadline, and far above any turn of the event loop.
+  // Far longer than any turn of the event loop.
   private static final long OVERDUE_GRACE_NANOS = 1_000_000_000L;
 
   private final RepeatDetector repeatDetector;
@@ -26,7 +26,7 @@
     this.ambiguousWrites = ambiguousWrites;
   }
 
-  /** How many requests have no final answer yet. */
+  /** Returns the number of requests that have not ended yet. */
   long pendingCount() {
     return pendingCount;
   }
@@ -35,13 +35,13 @@
     return requests.size();
   }
 
-  /** A request arrived and is passed on to the policy. */
+  /** Starts tracking a request that is passed on to the policy. */
   void requestReceived(Request request) {
     requests.put(request.id(), new TrackedRequest(request));
     pendingCount++;
   }
 
-  /** An attempt was sent; one of a request that is not tracked is ignored. */
+  /** Records that an attempt was sent; does nothing if the request is not tracked. */
   void attemptSent(RequestId requestId) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked != null) {
@@ -49,7 +49,9 @@
     }
   }
 
-  /** An attempt has ended, and with it the request if its answer is the final one. */
+  /**
+   * Records the end of an attempt, and the end of its request if the client needs no other answer.
+   */
   void attemptFinished(long now, AttemptResult result) {
     TrackedRequest tracked = requests.get(result.request());
     if (tracked == null) {
@@ -63,7 +65,10 @@
     removeIfSettled(now, tracked);
   }
 
-  /** A request ends without an answer, unless it has ended already: its client may repeat it. */
+  /**
+   * Records that a request ended without an answer, so that its client may repeat it; does nothing
+   * if the request has ended already.
+   */
   void requestUnanswered(long now, RequestId requestId) {
     TrackedRequest tracked = requests.get(requestId);
     if (tracked == null || tracked.isFinished()) {
@@ -91,11 +96,11 @@
   }
 
   /**
-   * Drops requests whose deadline is long over. The dispatcher ends a request by itself when the
-   * policy throws an exception over it, and no event tells of that.
+   * Drops requests whose deadline has long passed. If the policy throws an exception while it
+   * handles a request, the dispatcher ends that request itself, and no event reports it.
    *
-   * <p>Stops at the first request that is not overdue: later ones arrived later, so a request with
-   * a distant deadline merely keeps them a while longer.
+   * <p>Requests are checked in the order of arrival, up to the first that is not overdue: a request
+   * with a distant deadline merely keeps later ones a while longer.
    */
   void removeOverdue(long now) {
     Iterator<TrackedRequest> oldestFirst = requests.values().iterator();
--- a/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
@@ -5,28 +5,27 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Decides which Retry-After time a rejected client is told, and recognises the requests that come
- * back at that time.
+ * Chooses the Retry-After time for rejected clients, and recognises requests that return after it.
  *
- * <p>A rejected request is told, by the first case that holds:
+ * <p>For a rejected request the first of these cases applies:
  *
  * <ol>
- *   <li>where the operator has switched the schedule off: the longest time if other requests of the
- *       group wait, else none;
- *   <li>none if clients cannot be told a time ({@code canSendRetryAfter});
- *   <li>none if no other request of the group waits and the group is {@linkplain
- *       OverloadState#NORMAL not overloaded}: its hosts have free slots at once;
- *   <li>a time that the {@link RetryAfterSchedule} reserves, behind all requests that wait in the
- *       router.
+ *   <li>Clients cannot be told a time ({@code canSendRetryAfter}): none.
+ *   <li>The operator has disabled the schedule: the longest time if other requests of the group
+ *       wait for a slot, otherwise none.
+ *   <li>No other request of the group waits and the group is {@linkplain OverloadState#NORMAL
+ *       normal}: none, because its hosts have free slots.
+ *   <li>Otherwise: the time that the {@link RetryAfterSchedule} gives, after all pending requests
+ *       of the router.
  * </ol>
  *
- * <p>A client whose connection is refused is told a time by the second and the last case, or the
- * longest time without the schedule: which group it wants is not known yet.
+ * <p>A client whose connection is refused gets no time in the first case, the longest time if the
+ * schedule is disabled, and otherwise a time from the schedule: its group is not known yet.
  */
 final class RetryAfterAdvisor {
-  // The group of a reservation for a connection that has not sent a request yet.
+  // The group of a reservation for a refused connection, whose request is not known.
   private static final int NO_GROUP = -1;
-  // A client that returns later than this after its time has lost its reservation.
+  // A client that returns later than this after its Retry-After time is no longer recognised.
   private static final long RETURN_TOLERANCE_NANOS = 500_000_000L;
 
   private final RoutingSettings settings;
@@ -38,7 +37,7 @@
   private final RetryAfterSchedule schedule;
   private final FingerprintCache waitByFingerprint;
 
-  /** Creates an advisor with an empty schedule; a tiny cache suffices where it is not used. */
+  /** Creates an advisor with an empty schedule, which is only used if {@code usesSchedule}. */
   RetryAfterAdvisor(
       RoutingSettings settings,
       boolean usesSchedule,
@@ -57,15 +56,15 @@
     waitByFingerprint = FingerprintCache.forRepeats(usesSchedule);
   }
 
-  /** Takes over how many requests a second the hosts are expected to serve. */
+  /** Updates the schedule with the rate at which the hosts are expected to serve requests. */
   void updateExpectedRate() {
     schedule.setExpectedRate(statistics.expectedRate());
   }
 
   /**
-   * The Retry-After time in nanoseconds for a request that is rejected now, 0 for none.
+   * Returns the Retry-After time in nanoseconds for a request that is rejected now, 0 for none.
    *
-   * @param othersWaiting whether other requests of its group wait for a slot
+   * @param othersWaiting whether other requests of the same group are waiting for a slot
    */
   long adviseRejected(long now, Request request, boolean othersWaiting) {
     if (!usesSchedule) {
@@ -97,8 +96,8 @@
   }
 
   /**
-   * The Retry-After time in nanoseconds for a client whose connection is refused now, 0 for none.
-   * Its requests are not recognised when it returns.
+   * Returns the Retry-After time in nanoseconds for a client whose connection is refused now, 0 for
+   * none. The requests of this client are not recognised when it returns.
    */
   long adviseRefusedConnection(long now) {
     if (!settings.canSendRetryAfter()) {
@@ -113,8 +112,8 @@
   }
 
   /**
-   * The wait in nanoseconds that the client of this fingerprint was told, once, if it returns in
-   * time; else 0.
+   * Returns the Retry-After time in nanoseconds that the client of a request of this fingerprint
+   * was told, and forgets it. Returns 0 if there was none or the client has returned too late.
    */
   long takeAdvisedWait(long fingerprint, long now) {
     long waitNanos = waitByFingerprint.get(fingerprint, now);
--- a/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
@@ -4,34 +4,41 @@
 import rushwood.api.Times;
 
 /**
- * Spreads the times at which rejected clients return: a wheel of slots ahead of now, each with room
- * for as many requests as the hosts are expected to serve in it.
+ * Spreads the times at which rejected clients return: a timing wheel of future slots, each with
+ * room for as many requests as the hosts are expected to serve during the slot.
  *
- * <p>A reservation takes the first slot with room behind the time when the requests that wait now
- * are served, and its wait is the time until then. Where no slot has room the wait is the maximum,
- * without a reservation. Requests of high priority may use all of a slot, others leave a part of it
- * free ({@link #MAX_LOW_PRIORITY_SHARE}); one group leaves a part to the others while there are any
- * ({@link #MAX_SHARE_OF_ONE_GROUP}).
+ * <p>A reservation takes the first slot with room after the time at which the pending requests are
+ * expected to be served; the client waits until that slot. If no slot has room, the client waits
+ * the maximum without a reservation. High-priority requests may fill a slot, others only up to
+ * {@link #MAX_LOW_PRIORITY_SHARE}; while several groups are active, each may use at most {@link
+ * #MAX_SHARE_OF_ONE_GROUP} of a slot.
  *
- * <p>Times are clock times in nanoseconds. Memory is fixed: slots of the past are reused.
+ * <p>Times are clock times in nanoseconds. Memory is fixed: past slots are reused.
  */
 public final class RetryAfterSchedule {
-  /** A wait in nanoseconds; {@code reserved} if a slot has room for its request then. */
+  /**
+   * The wait that a client is told.
+   *
+   * @param reserved whether the schedule has room for the request after that wait
+   */
   public record Reservation(long waitNanos, boolean reserved) {}
 
-  /** The length of a slot: finer than clients' waits need, coarser than a turn of the loop. */
+  /**
+   * The length of a slot in nanoseconds: finer than the waits of clients require, and coarser than
+   * a turn of the event loop.
+   */
   public static final long SLOT_NANOS = 10_000_000L;
 
-  // Groups whose numbers are equal modulo this count as one.
+  // Groups whose numbers are equal modulo this share a bucket and count as one group.
   private static final int GROUP_BUCKETS = 32;
-  // Of a slot, while several groups are active.
+  // The share of a slot that one group may use while several groups are active.
   private static final double MAX_SHARE_OF_ONE_GROUP = 0.5;
-  // Of a slot, for requests of low priority.
+  // The share of a slot that requests without high priority may use.
   private static final double MAX_LOW_PRIORITY_SHARE = 0.75;
-  // A group counts as active for so long after a reservation: a few waits.
+  // How long a group counts as active after it asked for a reservation: a few waits.
   private static final long GROUP_ACTIVE_NANOS = 2_000_000_000L;
   private static final double NANOS_PER_SECOND = 1e9;
-  // Slots that one reservation takes at most: 1 / MIN_CAPACITY_PER_SLOT.
+  // Limits the slots that one reservation takes to 1 / MIN_CAPACITY_PER_SLOT.
   private static final double MIN_CAPACITY_PER_SLOT = 1e-3;
 
   private final int slotCount;
@@ -42,7 +49,7 @@
   private final long[] lastActiveAt = new long[GROUP_BUCKETS];
   private double capacityPerSlot;
 
-  /** Creates an empty schedule that tells no wait longer than {@code maxWaitNanos}. */
+  /** Creates an empty schedule whose waits are at most {@code maxWaitNanos}. */
   public RetryAfterSchedule(long maxWaitNanos) {
     this.maxWaitNanos = maxWaitNanos;
     slotCount = (int) Math.max(1, maxWaitNanos / SLOT_NANOS);
@@ -52,18 +59,21 @@
     Arrays.fill(lastActiveAt, Times.LONG_AGO);
   }
 
-  /** Sets how many requests a second the hosts are expected to serve; 0 if that is unknown. */
+  /**
+   * Sets how many requests per second the hosts are expected to serve, 0 if unknown. No slot has
+   * room until a rate is known.
+   */
   public void setExpectedRate(double requestsPerSecond) {
     capacityPerSlot = requestsPerSecond * SLOT_NANOS / NANOS_PER_SECOND;
   }
 
   /**
-   * Reserves the return of a request in the first slot that has room for it.
+   * Reserves room for the return of a request in the first slot that has room for it.
    *
-   * @param group the number of its group
-   * @param highPriority whether it may use all of a slot
-   * @param pendingRequests how many requests wait here already and are served first
-   * @param clientMaxWaitNanos the longest wait after which its client may still return
+   * @param group the number of the group of the request
+   * @param highPriority whether the request may use the whole of a slot
+   * @param pendingRequests how many requests are served before this one
+   * @param clientMaxWaitNanos the longest wait after which the client may still return
    */
   public Reservation reserve(
       long now, int group, boolean highPriority, double pendingRequests, long clientMaxWaitNanos) {
@@ -74,12 +84,12 @@
         isAnotherGroupActive(now, groupBucket)
             ? capacityPerSlot * MAX_SHARE_OF_ONE_GROUP
             : capacity;
-    long current = now / SLOT_NANOS;
-    long first = current + 1 + slotsUntilServed(pendingRequests);
-    long last = current + Math.min(slotCount, Math.max(1, clientMaxWaitNanos / SLOT_NANOS));
-    for (long slot = first; slot <= last; slot++) {
+    long currentSlot = now / SLOT_NANOS;
+    long firstSlot = currentSlot + 1 + slotsUntilServed(pendingRequests);
+    long lastSlot = currentSlot + Math.min(slotCount, Math.max(1, clientMaxWaitNanos / SLOT_NANOS));
+    for (long slot = firstSlot; slot <= lastSlot; slot++) {
       if (hasRoom(slot, groupBucket, capacity, groupCapacity)) {
-        occupy(slot, last, groupBucket);
+        occupy(slot, lastSlot, groupBucket);
         long waitNanos = Math.max(SLOT_NANOS, slot * SLOT_NANOS - now);
         return new Reservation(Math.min(maxWaitNanos, waitNanos), true);
       }
@@ -102,7 +112,9 @@
         : slotCount;
   }
 
-  /** Whether one more fits; a slot has room for one at least, however slow the hosts are. */
+  /**
+   * Returns whether a slot has room for one more. An empty slot does, however slow the hosts are.
+   */
   private boolean hasRoom(long slot, int groupBucket, double capacity, double groupCapacity) {
     int index = slotIndex(slot);
     return reservedInSlot[index] + 1 <= Math.max(1, capacity)
@@ -110,12 +122,12 @@
   }
 
   /**
-   * Takes room for one request: where less than one fits into a slot, in as many slots as the hosts
-   * need to serve it.
+   * Takes room for one request. If the capacity of a slot is less than one request, the request
+   * takes as many slots, up to {@code lastSlot}, as the hosts need to serve it.
    */
-  private void occupy(long slot, long last, int groupBucket) {
+  private void occupy(long slot, long lastSlot, int groupBucket) {
     double capacity = Math.max(MIN_CAPACITY_PER_SLOT, capacityPerSlot);
-    long end = Math.min(last, slot + (long) Math.ceil(1 / capacity) - 1);
+    long end = Math.min(lastSlot, slot + (long) Math.ceil(1 / capacity) - 1);
     for (long taken = slot; taken <= Math.max(slot, end); taken++) {
       int index = slotIndex(taken);
       reservedInSlot[index]++;
@@ -123,7 +135,7 @@
     }
   }
 
-  /** The index of a slot in the wheel; clears it where a slot of the past is still there. */
+  /** Returns the index of a slot in the wheel, and clears it if it still holds a past slot. */
   private int slotIndex(long slot) {
     int index = (int) (slot % (slotCount + 1));
     if (slotNumbers[index] != slot) {
--- a/router/src/main/java/rushwood/overload/RetryBudget.java
+++ b/router/src/main/java/rushwood/overload/RetryBudget.java
@@ -3,14 +3,16 @@
 import rushwood.api.Times;
 
 /**
- * Limits retries that cost their host work to a share of all other attempts and a number a second
- * that is always allowed: a token bucket in which each other attempt puts a part of a token and
- * each such retry takes one. The others are first attempts and retries that cost no work. It is
- * kept up to date always and asked only under overload ({@link OverloadStatistics#isRetryAllowed}).
- * Times are clock times in nanoseconds.
+ * Limits costly retries, that is retries after an attempt that cost its host work. A token bucket:
+ * each costly retry takes a token, each other attempt adds a fraction of one, and a fixed number of
+ * tokens is added per second. Other attempts are first attempts and retries after an attempt that
+ * cost no work.
+ *
+ * <p>The budget is always kept up to date, but is enforced only under overload ({@link
+ * OverloadStatistics#isRetryAllowed}). Times are clock times in nanoseconds.
  */
 final class RetryBudget {
-  // The failure of a host breaks many attempts at once.
+  // Allows a burst of retries, because the failure of a host breaks many attempts at once.
   private static final double BURST_SECONDS = 2;
   private static final double MIN_BURST_TOKENS = 10;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -21,7 +23,13 @@
   private double tokens;
   private long refilledAt = Times.LONG_AGO;
 
-  /** Creates a full bucket. */
+  /**
+   * Creates a full bucket.
+   *
+   * @param tokensPerFirstAttempt the fraction of a token that each attempt other than a costly
+   *     retry adds
+   * @param tokensPerSecond the tokens that are added per second in any case
+   */
   RetryBudget(double tokensPerFirstAttempt, double tokensPerSecond) {
     this.tokensPerFirstAttempt = tokensPerFirstAttempt;
     this.tokensPerSecond = tokensPerSecond;
@@ -29,19 +37,19 @@
     tokens = maxTokens;
   }
 
-  /** A first attempt, or a retry that cost no host work, was sent. */
+  /** Records an attempt that is not a costly retry. */
   void recordUnlimitedAttempt(long now) {
     refill(now);
     tokens = Math.min(maxTokens, tokens + tokensPerFirstAttempt);
   }
 
-  /** A retry that costs its host work was sent, whether it was allowed or not. */
+  /** Records a costly retry, whether the budget allowed it or not. */
   void recordRetry(long now) {
     refill(now);
     tokens = Math.max(0, tokens - 1);
   }
 
-  /** Whether there is a token for a retry; takes none. */
+  /** Returns whether there is a token for a costly retry; {@link #recordRetry} takes it. */
   boolean isRetryAllowed(long now) {
     refill(now);
     return tokens >= 1;
--- a/router/src/main/java/rushwood/overload/TrackedRequest.java
+++ b/router/src/main/java/rushwood/overload/TrackedRequest.java
@@ -3,7 +3,7 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.Request;
 
-/** A request without a final answer, or with one while attempts are still in flight. */
+/** A request that has not ended yet, or that has ended while attempts are still in flight. */
 final class TrackedRequest {
   private final Request request;
   private int attemptsInFlight;
@@ -28,13 +28,16 @@
     mayHaveExecuted |= !outcome.provesNotExecuted();
   }
 
-  /** The request was answered: its client does not repeat it, whatever attempts may have done. */
+  /**
+   * Marks the request as answered. Its client does not repeat it, so it no longer matters whether
+   * an attempt was executed.
+   */
   void markAnswered() {
     finished = true;
     mayHaveExecuted = false;
   }
 
-  /** The request ends without an answer: its client may repeat it. */
+  /** Marks the request as ended without an answer, so that its client may repeat it. */
   void markUnanswered() {
     finished = true;
   }
@@ -43,17 +46,17 @@
     return finished;
   }
 
-  /** Whether the request is finished and no attempt is in flight any more. */
+  /** Returns whether the request has ended and none of its attempts is in flight. */
   boolean isSettled() {
     return finished && attemptsInFlight <= 0;
   }
 
-  /** Whether an attempt may have been executed, or may still be. */
+  /** Returns whether an attempt may have been or may yet be executed. */
   boolean isPossiblyExecuted() {
     return attemptsInFlight > 0 || mayHaveExecuted;
   }
 
-  /** The id under which {@link AmbiguousWrites} holds the request, or {@code NO_ID}. */
+  /** Returns the id that {@link AmbiguousWrites} gave the request, or {@code NO_ID}. */
   long ambiguityId() {
     return ambiguityId;
   }
--- a/router/src/main/java/rushwood/overload/TrackingPolicyActions.java
+++ b/router/src/main/java/rushwood/overload/TrackingPolicyActions.java
@@ -6,8 +6,8 @@
 import rushwood.api.RequestId;
 
 /**
- * Passes the policy's actions on unchanged, and tells the {@link RequestTracker} of attempts and of
- * requests that end without an answer.
+ * Passes the actions of the policy on unchanged, and reports attempts and requests that end without
+ * an answer to the {@link RequestTracker}.
  */
 final class TrackingPolicyActions implements PolicyActions {
   private final PolicyActions actions;
@@ -19,7 +19,7 @@
     this.requestTracker = requestTracker;
   }
 
-  /** An event is about to be passed to the policy: its actions from now on have that time. */
+  /** Sets the clock time of the event that is passed to the policy next, and so of its actions. */
   void eventStarted(long now) {
     eventTime = now;
   }
--- a/router/src/main/java/rushwood/overload/UnansweredRequests.java
+++ b/router/src/main/java/rushwood/overload/UnansweredRequests.java
@@ -1,11 +1,11 @@
 package rushwood.overload;
 
 /**
- * How many requests of a group ended without an answer and were not repeated yet: the number of
- * repeats that can be expected. It decays, as some clients never come back.
+ * Counts the requests of a group that ended without an answer and have not been repeated yet, which
+ * is the number of expected repeats. The count decays, because some clients never return.
  */
 final class UnansweredRequests {
-  // What is left after a tick: half in 1.4 s, by when most clients that come back have done so.
+  // Halves the count in 1.4 s; most clients that return have done so by then.
   private static final double DECAY_PER_TICK = 0.95;
 
   private double count;
@@ -14,7 +14,7 @@
     count++;
   }
 
-  /** Takes one, and returns whether there was one. */
+  /** Removes one request; returns whether there was one. */
   boolean take() {
     if (count < 1) {
       return false;
--- a/router/src/test/java/rushwood/overload/AmbiguousWritesTest.java
+++ b/router/src/test/java/rushwood/overload/AmbiguousWritesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import rushwood.api.AttemptOutcome;
 
-/** Repeats of writes that may have been executed. */
+/** Tests repeats of writes that may have been executed, with the operator's setting enabled. */
 class AmbiguousWritesTest {
   private static final int GROUP = 0;
   private static final long FINGERPRINT = 77;
@@ -27,7 +27,7 @@
     return fixture.wasSent(id, GROUP);
   }
 
-  /** The client disconnects after its write was sent, and repeats it under a new id. */
+  /** A client disconnects after its write was sent, and repeats the write under a new id. */
   @Test
   void ambiguousWriteIsNotExecutedAgain() {
     String first = receive();
@@ -40,12 +40,13 @@
     assertEquals(1, fixture.controller.counts().ambiguousWritesFailed());
     finishAttempt(first, AttemptOutcome.TIMED_OUT);
     String third = receive();
-    assertTrue(fixture.wasFailed(third), "a timeout does not prove that it was not executed");
-    String other = fixture.receive(PAYMENT, GROUP, FINGERPRINT + 1);
-    assertTrue(wasSent(other), "another fingerprint is not affected");
+    assertTrue(
+        fixture.wasFailed(third), "a timeout does not prove that the write was not executed");
+    String withOtherFingerprint = fixture.receive(PAYMENT, GROUP, FINGERPRINT + 1);
+    assertTrue(wasSent(withOtherFingerprint), "another fingerprint is not affected");
     fixture.advanceMillis(5100);
-    String late = receive();
-    assertTrue(wasSent(late), "the idempotency window is over");
+    String afterWindow = receive();
+    assertTrue(wasSent(afterWindow), "the idempotency window is over");
   }
 
   /** A refusal proves that the write was not executed. */
@@ -54,12 +55,12 @@
     String first = receive();
     fixture.disconnect(first);
     finishAttempt(first, AttemptOutcome.OVERLOADED);
-    fixture.advanceMillis(100); // a host that refuses is not used for a while
+    fixture.advanceMillis(100); // the policy pauses a host that refused an attempt
     String second = receive();
     assertTrue(wasSent(second), fixture.recorded().toString());
   }
 
-  /** Two requests of one fingerprint: the outcome of one says nothing of the other. */
+  /** The outcome of one of two requests with the same fingerprint says nothing about the other. */
   @Test
   void successOfAnotherRequestDoesNotEndAmbiguity() {
     String first = receive();
@@ -68,7 +69,7 @@
     fixture.disconnect(first);
     finishAttempt(second, AttemptOutcome.SUCCESS);
     String third = receive();
-    assertTrue(fixture.wasFailed(third), "the first may still be executed");
+    assertTrue(fixture.wasFailed(third), "the first write may still be executed");
   }
 
   @Test
@@ -79,10 +80,10 @@
     fixture.disconnect(second);
     finishAttempt(second, AttemptOutcome.OVERLOADED);
     fixture.advanceMillis(100);
-    assertTrue(fixture.wasFailed(receive()), "the first may still be executed");
+    assertTrue(fixture.wasFailed(receive()), "the first write may still be executed");
   }
 
-  /** The same client may send the same payment again. */
+  /** A client may send the same payment again after a successful one. */
   @Test
   void successfulWriteIsNotAmbiguous() {
     String first = receive();
--- a/router/src/test/java/rushwood/overload/ConnectBackoffTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectBackoffTest.java
@@ -12,7 +12,7 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final HostId HOST = new HostId("a");
 
-  /** A host that is down gets under fifty attempts in ten seconds, whatever the load. */
+  /** A host that is down gets fewer than fifty attempts in ten seconds, whatever the load. */
   @Test
   void connectAttemptsAreLimitedAfterFailures() {
     ConnectBackoff backoff = new ConnectBackoff(new SplittableRandom(9), true);
@@ -26,11 +26,11 @@
         }
       }
     }
-    assertTrue(attempts > 15 && attempts < 50, attempts + " in ten seconds");
+    assertTrue(attempts > 15 && attempts < 50, attempts + " attempts in ten seconds");
     long at = 11_000 * NANOS_PER_MILLI;
     assertTrue(backoff.isAttemptAllowed(HOST, at));
     backoff.attemptStarted(HOST);
-    assertFalse(backoff.isAttemptAllowed(HOST, at), "one at a time");
+    assertFalse(backoff.isAttemptAllowed(HOST, at), "one attempt at a time");
     backoff.attemptSucceeded(HOST);
     backoff.attemptStarted(HOST);
     assertTrue(
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -17,32 +17,33 @@
 
   private final ConnectionAdmission admission = new ConnectionAdmission(3, RETRY_AFTER_NANOS);
 
-  private AdmittedConnection admit(String owner, long at) {
-    return admission.admit(owner, at * NANOS_PER_MILLI);
+  private AdmittedConnection admit(String owner, long atMillis) {
+    return admission.admit(owner, atMillis * NANOS_PER_MILLI);
   }
 
-  private void setState(AdmittedConnection connection, ConnectionState state, long at) {
-    admission.setState(connection, state, at * NANOS_PER_MILLI);
+  private void setState(AdmittedConnection connection, ConnectionState state, long atMillis) {
+    admission.setState(connection, state, atMillis * NANOS_PER_MILLI);
   }
 
-  private static void assertEnds(
+  private static void assertDecision(
       Action action, AdmittedConnection connection, EvictionDecision decision) {
     assertEquals(action, decision.action());
     assertSame(connection, decision.connection());
   }
 
-  private void assertEndsOverLimit(Action action, AdmittedConnection connection, long at) {
-    assertEnds(action, connection, admission.decideOverLimit(at * NANOS_PER_MILLI));
+  private void assertDecisionOverLimit(
+      Action action, AdmittedConnection connection, long atMillis) {
+    assertDecision(action, connection, admission.decideOverLimit(atMillis * NANOS_PER_MILLI));
   }
 
-  private static void assertNoneEnds(EvictionDecision decision, String message) {
+  private static void assertNoDecision(EvictionDecision decision, String message) {
     assertEquals(Action.NONE, decision.action(), message);
     assertThrows(IllegalStateException.class, decision::connection);
   }
 
   /** A client that was told when to retry keeps its connection until that time has passed. */
   @Test
-  void connectionsAwaitingRetryStayUntilTheirTimeIsOver() {
+  void connectionAwaitingRetryIsKeptUntilRetryTimeHasPassed() {
     AdmittedConnection awaitingRetry = admit("awaitingRetry", 0);
     setState(awaitingRetry, ConnectionState.AWAITING_RETRY, 0);
     AdmittedConnection busy = admit("busy", 0);
@@ -51,18 +52,19 @@
     setState(idle, ConnectionState.IDLE, 200);
     AdmittedConnection newest = admit("newest", 210);
     assertTrue(admission.isOverLimit());
-    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 210); // idle, but not for long enough
-    assertEndsOverLimit(Action.CLOSE_IDLE, idle, 300);
+    assertDecisionOverLimit(Action.REFUSE_NEWEST, newest, 210); // idle, but not for long enough
+    assertDecisionOverLimit(Action.CLOSE_IDLE, idle, 300);
     admission.remove(idle);
-    // The others await a retry, are busy or new.
-    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 350);
+    // The other connections are awaiting a retry, busy or new.
+    assertDecisionOverLimit(Action.REFUSE_NEWEST, newest, 350);
     admission.remove(newest);
-    assertNoneEnds(admission.decideOverLimit(749 * NANOS_PER_MILLI), "may still return");
-    // Did not return at its time nor soon after.
-    assertEndsOverLimit(Action.CLOSE_IDLE, awaitingRetry, 750);
+    assertNoDecision(
+        admission.decideOverLimit(749 * NANOS_PER_MILLI), "the client may still return");
+    // The client has not returned within the tolerance after its Retry-After time.
+    assertDecisionOverLimit(Action.CLOSE_IDLE, awaitingRetry, 750);
   }
 
-  /** First requests follow the connect at once, so a connection without one is closed first. */
+  /** Clients send their first request at once, so a connection without one is closed first. */
   @Test
   void connectionsWithoutRequestAreClosedBeforeIdleOnes() {
     AdmittedConnection idle = admit("idle", 0);
@@ -70,10 +72,10 @@
     AdmittedConnection withoutRequest = admit("withoutRequest", 0);
     admit("later", 120);
     admit("newest", 149);
-    assertEndsOverLimit(Action.CLOSE_IDLE, idle, 149);
-    assertEndsOverLimit(Action.CLOSE_UNUSED, withoutRequest, 150);
+    assertDecisionOverLimit(Action.CLOSE_IDLE, idle, 149);
+    assertDecisionOverLimit(Action.CLOSE_UNUSED, withoutRequest, 150);
     setState(withoutRequest, ConnectionState.BUSY, 150); // its first request arrived after all
-    assertEndsOverLimit(Action.CLOSE_IDLE, idle, 150);
+    assertDecisionOverLimit(Action.CLOSE_IDLE, idle, 150);
   }
 
   @Test
@@ -82,36 +84,42 @@
       setState(admit(owner, 0), ConnectionState.BUSY, 0);
     }
     AdmittedConnection newest = admit("newest", 1);
-    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 1);
+    assertDecisionOverLimit(Action.REFUSE_NEWEST, newest, 1);
     setState(newest, ConnectionState.BUSY, 1);
-    assertNoneEnds(admission.decideOverLimit(1 * NANOS_PER_MILLI), "all are busy");
+    assertNoDecision(admission.decideOverLimit(1 * NANOS_PER_MILLI), "all are busy");
   }
 
-  /** Clients that send one request and stay idle lose the connection even below the limit. */
+  /** If most clients send only one request, idle connections are closed even below the limit. */
   @Test
-  void idleConnectionsAreClosedWhereReuseIsRare() {
-    ConnectionAdmission large = new ConnectionAdmission(100, RETRY_AFTER_NANOS);
+  void idleConnectionsAreClosedIfReuseIsRare() {
+    ConnectionAdmission largeAdmission = new ConnectionAdmission(100, RETRY_AFTER_NANOS);
     List<AdmittedConnection> idle = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      idle.add(large.admit(i, 0));
-      large.setState(idle.get(i), ConnectionState.IDLE, 0);
-      large.recordRequest(true);
+      idle.add(largeAdmission.admit(i, 0));
+      largeAdmission.setState(idle.get(i), ConnectionState.IDLE, 0);
+      largeAdmission.recordRequest(true);
     }
-    assertNoneEnds(large.decideBelowLimit(1000 * NANOS_PER_MILLI), "connections are reused");
+    assertNoDecision(
+        largeAdmission.decideBelowLimit(1000 * NANOS_PER_MILLI), "connections are reused");
     for (int i = 0; i < 40; i++) {
-      large.recordRequest(false);
+      largeAdmission.recordRequest(false);
     }
-    assertNoneEnds(large.decideBelowLimit(99 * NANOS_PER_MILLI), "not idle for long enough");
+    assertNoDecision(
+        largeAdmission.decideBelowLimit(99 * NANOS_PER_MILLI), "not idle for long enough");
     for (int i = 0; i < 28; i++) {
-      assertEnds(Action.CLOSE_IDLE, idle.get(i), large.decideBelowLimit(100 * NANOS_PER_MILLI));
-      large.remove(idle.get(i));
+      assertDecision(
+          Action.CLOSE_IDLE, idle.get(i), largeAdmission.decideBelowLimit(100 * NANOS_PER_MILLI));
+      largeAdmission.remove(idle.get(i));
     }
-    assertNoneEnds(large.decideBelowLimit(1000 * NANOS_PER_MILLI), "so few may stay idle");
-    large.startShutdown();
-    assertNoneEnds(large.decideBelowLimit(1000 * NANOS_PER_MILLI), "the router shuts down");
+    assertNoDecision(
+        largeAdmission.decideBelowLimit(1000 * NANOS_PER_MILLI),
+        "an eighth of the limit may stay idle");
+    largeAdmission.startShutdown();
+    assertNoDecision(
+        largeAdmission.decideBelowLimit(1000 * NANOS_PER_MILLI), "the router shuts down");
   }
 
-  /** A client that loses its connection during shutdown cannot reconnect: idle ones are kept. */
+  /** Idle connections are kept during shutdown, because their clients could not reconnect. */
   @Test
   void onlyConnectionsWithoutRequestAreClosedDuringShutdown() {
     AdmittedConnection idle = admit("idle", 0);
@@ -120,43 +128,43 @@
     setState(admit("busy", 0), ConnectionState.BUSY, 0);
     AdmittedConnection newest = admit("newest", 1000);
     admission.startShutdown();
-    assertEndsOverLimit(Action.CLOSE_UNUSED, withoutRequest, 1000);
+    assertDecisionOverLimit(Action.CLOSE_UNUSED, withoutRequest, 1000);
     admission.remove(withoutRequest);
-    assertEndsOverLimit(Action.REFUSE_NEWEST, newest, 1000);
+    assertDecisionOverLimit(Action.REFUSE_NEWEST, newest, 1000);
   }
 
-  /** Every connection is in exactly one list, whatever the order of calls. */
+  /** Every connection is in the list of exactly one state, whatever the order of calls. */
   @Test
   void randomOperationsKeepListsConsistent() {
     SplittableRandom random = new SplittableRandom(5);
     List<AdmittedConnection> admitted = new ArrayList<>();
-    ConnectionAdmission large = new ConnectionAdmission(50, RETRY_AFTER_NANOS);
-    for (long at = 0; at < 20_000; at++) {
+    ConnectionAdmission largeAdmission = new ConnectionAdmission(50, RETRY_AFTER_NANOS);
+    for (long atMillis = 0; atMillis < 20_000; atMillis++) {
       int operation = random.nextInt(4);
       if (operation == 0) {
-        admitted.add(large.admit(at, at * NANOS_PER_MILLI));
+        admitted.add(largeAdmission.admit(atMillis, atMillis * NANOS_PER_MILLI));
       } else if (!admitted.isEmpty() && operation == 1) {
-        large.remove(admitted.remove(random.nextInt(admitted.size())));
+        largeAdmission.remove(admitted.remove(random.nextInt(admitted.size())));
       } else if (!admitted.isEmpty()) {
-        large.setState(
+        largeAdmission.setState(
             admitted.get(random.nextInt(admitted.size())),
             ConnectionState.values()[random.nextInt(4)],
-            at * NANOS_PER_MILLI);
+            atMillis * NANOS_PER_MILLI);
       }
-      closeWhileOverLimit(large, admitted, at);
-      assertEquals(admitted.size(), large.openConnections());
+      closeWhileOverLimit(largeAdmission, admitted, atMillis);
+      assertEquals(admitted.size(), largeAdmission.openConnections());
       int sum = 0;
       for (ConnectionState state : ConnectionState.values()) {
-        sum += large.openConnections(state);
+        sum += largeAdmission.openConnections(state);
       }
       assertEquals(admitted.size(), sum);
     }
   }
 
   private static void closeWhileOverLimit(
-      ConnectionAdmission admission, List<AdmittedConnection> admitted, long at) {
+      ConnectionAdmission admission, List<AdmittedConnection> admitted, long atMillis) {
     while (admission.isOverLimit()) {
-      EvictionDecision decision = admission.decideOverLimit(at * NANOS_PER_MILLI);
+      EvictionDecision decision = admission.decideOverLimit(atMillis * NANOS_PER_MILLI);
       if (!decision.action().isClose()) {
         return;
       }
--- a/router/src/test/java/rushwood/overload/DescriptorBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/DescriptorBudgetTest.java
@@ -18,13 +18,15 @@
     assertEquals(
         81,
         budget.maxClientConnections(1000 * NANOS_PER_MILLI),
-        "backends keep a quarter above their peak");
+        "backend connections get a quarter more than their peak");
     budget.setOpenBackendConnections(2, 2000 * NANOS_PER_MILLI);
     assertEquals(82, budget.maxClientConnections(2000 * NANOS_PER_MILLI));
     assertEquals(87, budget.maxClientConnections(60_000 * NANOS_PER_MILLI));
     budget.setOpenBackendConnections(60, 61_000 * NANOS_PER_MILLI);
     assertEquals(
-        60, budget.maxClientConnections(61_000 * NANOS_PER_MILLI), "clients keep three fifths");
+        60,
+        budget.maxClientConnections(61_000 * NANOS_PER_MILLI),
+        "client connections keep three fifths");
     assertEquals(15, budget.maxBackendConnections());
   }
 }
--- a/router/src/test/java/rushwood/overload/OverloadControllerFixture.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerFixture.java
@@ -21,8 +21,8 @@
 import rushwood.policy.DefaultRoutingPolicy;
 
 /**
- * An overload controller in front of the default routing policy, with a primary {@code hN} in each
- * group N, a clock that the test moves, and a record of all actions and log lines.
+ * An overload controller that decorates the default routing policy, with a primary {@code hN} in
+ * each group N, a clock that the test advances, and a record of all actions and log lines.
  */
 final class OverloadControllerFixture {
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -125,12 +125,14 @@
   }
 
   /**
-   * What was recorded since the start or the last {@link #clearRecord}: a verb and its arguments.
+   * Returns the actions (a verb and its arguments) and log lines since the start or the last {@link
+   * #clearRecord}.
    */
   List<String> recorded() {
     return List.copyOf(recorded);
   }
 
+  /** Returns the recorded actions of one kind, for example {@code reject}. */
   List<String> recorded(String verb) {
     return recorded.stream().filter(entry -> entry.startsWith(verb)).toList();
   }
@@ -139,7 +141,7 @@
     recorded.clear();
   }
 
-  /** Whether the request was sent to the host of that group. */
+  /** Returns whether the request was sent to the host of the group. */
   boolean wasSent(String id, int group) {
     return recorded.contains("send " + id + " h" + group);
   }
@@ -148,7 +150,7 @@
     return recorded.contains("fail " + id);
   }
 
-  /** A request with a deadline in one second arrives; returns its new id. */
+  /** Passes the controller a new request with a deadline in one second; returns its id. */
   String receive(RequestClass requestClass, int group, long fingerprint) {
     String id = "a" + nextId++;
     controller.requestReceived(
--- a/router/src/test/java/rushwood/overload/OverloadControllerTest.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerTest.java
@@ -12,12 +12,9 @@
 import rushwood.api.GroupId;
 import rushwood.api.OverloadSignals;
 
-/** The overload controller in front of the default routing policy. */
+/** Tests the overload controller with the default routing policy. */
 class OverloadControllerTest {
-  /**
-   * A request that the dispatcher ended without an event is neither kept for good nor counted as
-   * waiting.
-   */
+  /** A request that the dispatcher ended without an event must not stay tracked forever. */
   @Test
   void overdueRequestsAreRemoved() {
     OverloadControllerFixture fixture = new OverloadControllerFixture(false, 1);
@@ -26,12 +23,12 @@
       fixture.receive(READ, groupWithoutHosts, i + 1);
     }
     assertEquals(100, fixture.controller.trackedRequestCount());
-    fixture.advanceMillis(2100); // their deadline was after one second; no timer has fired
-    fixture.disconnect("another");
+    fixture.advanceMillis(2100); // past the deadline and the grace time; no timer has fired
+    fixture.disconnect("unknown"); // any event starts a tick
     assertEquals(0, fixture.controller.trackedRequestCount());
   }
 
-  /** A client that returns after the Retry-After it was told comes before later arrivals. */
+  /** A request that returns after its Retry-After is served before requests that arrived since. */
   @Test
   void requestsReturningAsAdvisedAreServedFirst() {
     OverloadControllerFixture fixture = new OverloadControllerFixture(false, 1);
@@ -39,11 +36,11 @@
     for (int i = 0; i < 40; i++) {
       ids.add(fixture.receive(READ, 0, 1000 + i));
     }
-    fixture.advanceMillis(700); // queued requests are rejected
+    fixture.advanceMillis(700); // long enough for the policy to reject queued requests
     fixture.fireTimer();
     List<String> rejections = fixture.recorded("reject");
     assertTrue(rejections.size() > 20, fixture.recorded().toString());
-    // The last one is rejected when no other waits, so it may be told no wait.
+    // No other request waits when the last one is rejected, so it may get no Retry-After.
     for (String rejection : rejections.subList(0, rejections.size() - 1)) {
       long waitMillis = Long.parseLong(rejection.split(" ")[2]);
       assertTrue(waitMillis > 0 && waitMillis <= 500, rejection);
@@ -60,7 +57,7 @@
         fixture.recorded("send").stream().findFirst().orElse("none, " + later + " waits"));
   }
 
-  /** State, retry budget and Retry-After times of one group do not depend on another. */
+  /** The state and the retry budget of a group do not depend on other groups. */
   @Test
   void overloadOfOneGroupLeavesOthersNormal() {
     OverloadControllerFixture fixture = new OverloadControllerFixture(false, 2);
@@ -92,7 +89,9 @@
     assertTrue(signals.canRetry(fixture.now(), unaffected));
   }
 
-  /** Many clients read one key, and a few of them get no answer. */
+  /**
+   * Many clients read the same key and a few of them get no answer; the others do not repeat them.
+   */
   @Test
   void requestsForHotKeysAreNotRepeats() {
     OverloadControllerFixture fixture = new OverloadControllerFixture(false, 1);
@@ -107,7 +106,7 @@
       fixture.advanceMillis(2);
     }
     long repeats = fixture.controller.counts().repeatedRequests();
-    assertTrue(repeats <= 50, repeats + " of 50 that had no answer");
+    assertTrue(repeats <= 50, repeats + " repeats counted for 50 unanswered requests");
     assertEquals(OverloadState.NORMAL, fixture.controller.state());
   }
 }
--- a/router/src/test/java/rushwood/overload/OverloadDetectorTest.java
+++ b/router/src/test/java/rushwood/overload/OverloadDetectorTest.java
@@ -15,25 +15,27 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Plays scenario files: {@code for N arrivals A repeats R ...} feeds N ticks of these counts (the
- * repeats are among the arrivals), {@code expect STATE} checks the state that follows.
+ * Runs scenario files. A line {@code for N arrivals A repeats R ...} feeds the detector N ticks
+ * with these counts (the arrivals include the repeats), a line {@code expect STATE} checks its
+ * state, and a line that starts with {@code #} is a comment.
  */
 class OverloadDetectorTest {
-  private static final Set<String> KINDS = Set.of("arrivals", "repeats", "refused", "completed");
+  private static final Set<String> COUNT_NAMES =
+      Set.of("arrivals", "repeats", "refused", "completed");
 
   @TestFactory
   List<DynamicTest> scenarios() throws IOException {
-    List<Path> scripts;
+    List<Path> scenarioFiles;
     try (Stream<Path> files = Files.list(Path.of("src/test/resources/overload"))) {
-      scripts = files.sorted().toList();
+      scenarioFiles = files.sorted().toList();
     }
-    assertTrue(scripts.size() >= 5);
-    return scripts.stream()
-        .map(script -> DynamicTest.dynamicTest(script.getFileName().toString(), () -> play(script)))
+    assertTrue(scenarioFiles.size() >= 5);
+    return scenarioFiles.stream()
+        .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> run(file)))
         .toList();
   }
 
-  private static void play(Path file) throws IOException {
+  private static void run(Path file) throws IOException {
     OverloadDetector detector = new OverloadDetector();
     int lineNumber = 0;
     for (String line : Files.readAllLines(file)) {
@@ -52,7 +54,7 @@
   private static Map<String, Integer> parseCounts(String[] words) {
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 2; i < words.length; i += 2) {
-      assertTrue(KINDS.contains(words[i]), words[i]);
+      assertTrue(COUNT_NAMES.contains(words[i]), words[i]);
       counts.put(words[i], Integer.parseInt(words[i + 1]));
     }
     return counts;
@@ -61,7 +63,7 @@
   private static void feed(OverloadDetector detector, int ticks, Map<String, Integer> counts) {
     int arrivals = counts.getOrDefault("arrivals", 0);
     int repeats = counts.getOrDefault("repeats", 0);
-    assertTrue(repeats <= arrivals, "repeats are among the arrivals");
+    assertTrue(repeats <= arrivals, "the arrivals include the repeats");
     for (int tick = 0; tick < ticks; tick++) {
       for (int i = 0; i < arrivals; i++) {
         detector.recordArrival(i < repeats);
--- a/router/src/test/java/rushwood/overload/RepeatSketchTest.java
+++ b/router/src/test/java/rushwood/overload/RepeatSketchTest.java
@@ -11,7 +11,7 @@
 class RepeatSketchTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Counts too many for one fingerprint in a hundred at most. */
+  /** No count is too low, and at most one fingerprint in a hundred has a count that is too high. */
   @Test
   void sketchNeverCountsFewerThanExactMap() {
     RepeatSketch sketch = new RepeatSketch(1 << 14, 1000 * NANOS_PER_MILLI);
@@ -25,11 +25,12 @@
     int overcounted = 0;
     for (long fingerprint = 0; fingerprint < 100_000; fingerprint++) {
       int expected = exact.getOrDefault(fingerprint, 0);
-      int seen = sketch.count(fingerprint, 600 * NANOS_PER_MILLI);
-      assertTrue(seen >= expected, "never too few");
-      overcounted += seen > expected ? 1 : 0;
+      int counted = sketch.count(fingerprint, 600 * NANOS_PER_MILLI);
+      assertTrue(counted >= expected, "a count must not be too low");
+      overcounted += counted > expected ? 1 : 0;
     }
-    assertTrue(overcounted < 100_000 / 100, overcounted + " fingerprints counted too often");
+    assertTrue(
+        overcounted < 100_000 / 100, overcounted + " fingerprints with a count that is too high");
     assertEquals(1 << 17, sketch.memoryBytes());
     assertTrue(
         sketch.count(exact.keySet().iterator().next(), 1600 * NANOS_PER_MILLI) > 0,
--- a/router/src/test/java/rushwood/overload/RetryAfterScheduleTest.java
+++ b/router/src/test/java/rushwood/overload/RetryAfterScheduleTest.java
@@ -18,13 +18,13 @@
     return schedule;
   }
 
-  /** Reserves for a request of high priority behind others that wait, at time 0. */
+  /** Reserves at time 0 for a high-priority request behind {@code pendingRequests} others. */
   private static Reservation reserveBehind(
       RetryAfterSchedule schedule, int pendingRequests, long maxWaitMillis) {
     return schedule.reserve(0, GROUP, true, pendingRequests, maxWaitMillis * NANOS_PER_MILLI);
   }
 
-  /** Reserves at time 0 until there is no room; returns for how many requests there was. */
+  /** Reserves at time 0 until there is no room; returns the number of reservations. */
   private static int reserveAll(
       RetryAfterSchedule schedule, boolean highPriority, long maxWaitMillis) {
     int reserved = 0;
@@ -36,10 +36,10 @@
     return reserved;
   }
 
-  /** No wait exceeds the maximum, and no slot holds more reservations than expected requests. */
+  /** No wait exceeds the maximum, and no slot gets more reservations than its capacity. */
   @Test
   void scheduleReservesUpToCapacity() {
-    RetryAfterSchedule schedule = schedule(500, 1000); // ten a slot
+    RetryAfterSchedule schedule = schedule(500, 1000); // ten per slot
     int[] slots = new int[51];
     int reserved = 0;
     for (int i = 0; i < 1000; i++) {
@@ -57,12 +57,12 @@
     assertFalse(reserveBehind(schedule, 0, 500).reserved());
     assertTrue(
         schedule.reserve(200 * NANOS_PER_MILLI, GROUP, true, 0, 500 * NANOS_PER_MILLI).reserved(),
-        "slots of the past are reused");
+        "past slots are reused");
   }
 
   /**
-   * Waiting requests come first, low priority leaves a quarter of a slot, one group leaves half of
-   * it to the others.
+   * Reservations come after pending requests, low-priority requests leave a quarter of each slot
+   * free, and one group leaves half of each slot to others.
    */
   @Test
   void scheduleSharesCapacityByPriorityAndGroup() {
@@ -70,9 +70,12 @@
     assertTrue(reserveBehind(schedule, 300, 500).waitNanos() >= 300 * NANOS_PER_MILLI);
     assertFalse(reserveBehind(schedule, 600, 500).reserved());
     assertFalse(
-        reserveBehind(schedule, 300, 200).reserved(), "no capacity within its maximum wait");
+        reserveBehind(schedule, 300, 200).reserved(),
+        "no room within the maximum wait of the client");
     assertEquals(
-        70, reserveAll(schedule(100, 1000), false, 100), "seven of ten in each of ten slots");
+        70,
+        reserveAll(schedule(100, 1000), false, 100),
+        "seven of ten requests in each of ten slots");
     RetryAfterSchedule shared = schedule(100, 1000);
     shared.reserve(0, OTHER_GROUP, true, 0, 100 * NANOS_PER_MILLI);
     assertEquals(50, reserveAll(shared, true, 100));
@@ -81,11 +84,13 @@
         "the other group has its share");
   }
 
-  /** At 25 requests a second every fourth slot has room for one. */
+  /** At 25 requests per second every fourth slot has room for one. */
   @Test
-  void scheduleWithLessThanOneReservationPerSlot() {
+  void scheduleReservesSeveralSlotsPerRequestAtLowRate() {
     int reserved = reserveAll(schedule(500, 25), true, 500);
-    assertTrue(reserved >= 12 && reserved <= 13, reserved + " in half a second of 25 a second");
+    assertTrue(
+        reserved >= 12 && reserved <= 13,
+        reserved + " reservations in half a second at 25 per second");
     RetryAfterSchedule unknownRate = new RetryAfterSchedule(500 * NANOS_PER_MILLI);
     assertEquals(500 * NANOS_PER_MILLI, reserveBehind(unknownRate, 0, 500).waitNanos());
   }
--- a/router/src/test/java/rushwood/overload/RetryBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/RetryBudgetTest.java
@@ -7,7 +7,7 @@
 class RetryBudgetTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** A fifth of the first attempts, and at most ten a second and the initial tokens on top. */
+  /** Allows one retry for five first attempts, ten more per second, and the initial 20 tokens. */
   @Test
   void retriesStayWithinBudget() {
     RetryBudget budget = new RetryBudget(0.2, 10);
@@ -23,6 +23,7 @@
       }
     }
     assertTrue(
-        retries >= 2000 && retries <= 2000 + 100 + 20, retries + " for 10,000 in ten seconds");
+        retries >= 2000 && retries <= 2000 + 100 + 20,
+        retries + " retries for 10,000 first attempts in ten seconds");
   }
 }
