--- a/router/src/main/java/rushwood/overload/ConnectBackoff.java
+++ b/router/src/main/java/rushwood/overload/ConnectBackoff.java
@@ -13,7 +13,7 @@
  * Times are clock times in nanoseconds.
  *
  * <p>A host that is down thus costs a bounded number of attempts per second whatever the load, and
- * a host that comes back does not get all pending connection attempts at once.
+ * a host that comes back gets a single attempt at first.
  */
 public final class ConnectBackoff {
   private static final class HostBackoff {
--- a/router/src/main/java/rushwood/overload/DescriptorBudget.java
+++ b/router/src/main/java/rushwood/overload/DescriptorBudget.java
@@ -29,8 +29,8 @@
   private final int total;
   private double backendPeak;
   private long backendPeakAt = Times.LONG_AGO;
-  private int openBackends;
-  private int openClients;
+  private int openBackendConnections;
+  private int openClientConnections;
 
   /** Creates a budget of {@code total} sockets; fewer than five count as five. */
   public DescriptorBudget(int total) {
@@ -39,7 +39,7 @@
 
   /** Sets how many backend connections are open or being opened. */
   public void setOpenBackendConnections(int open, long now) {
-    openBackends = open;
+    openBackendConnections = open;
     if (open >= decayedPeak(now)) {
       backendPeak = open;
       backendPeakAt = now;
@@ -48,15 +48,15 @@
 
   /** Sets how many client connections are open. */
   public void setOpenClientConnections(int open) {
-    openClients = open;
+    openClientConnections = open;
   }
 
   /** Returns how many client connections there may be now. */
   public int maxClientConnections(long now) {
-    double neededByBackends = Math.max(openBackends, decayedPeak(now)) * BACKEND_HEADROOM;
+    double neededByBackends = Math.max(openBackendConnections, decayedPeak(now)) * BACKEND_HEADROOM;
     double minForBackends = total * MIN_BACKEND_SHARE;
     int reserved = (int) Math.ceil(Math.max(minForBackends, neededByBackends));
-    return Math.max(minClients(), total - reserved);
+    return Math.max(minClientConnections(), total - reserved);
   }
 
   /**
@@ -64,10 +64,10 @@
    * use nor are guaranteed, at least one.
    */
   public int maxBackendConnections() {
-    return Math.max(1, total - Math.max(openClients, minClients()));
+    return Math.max(1, total - Math.max(openClientConnections, minClientConnections()));
   }
 
-  private int minClients() {
+  private int minClientConnections() {
     return total * MIN_CLIENT_PERCENT / 100;
   }
 
--- a/router/src/main/java/rushwood/overload/EvictionPolicy.java
+++ b/router/src/main/java/rushwood/overload/EvictionPolicy.java
@@ -53,7 +53,7 @@
     shuttingDown = true;
   }
 
-  /** Chooses the connection to close or refuse while there are more than the limit. */
+  /** Chooses the connection to close or refuse while there are more than the limit allows. */
   EvictionDecision decideOverLimit(long now) {
     moveOverdueRetriesToIdle(now);
     AdmittedConnection oldestNew = connections.oldest(ConnectionState.NEW);
--- a/router/src/main/java/rushwood/overload/FingerprintCache.java
+++ b/router/src/main/java/rushwood/overload/FingerprintCache.java
@@ -35,7 +35,10 @@
     values = new long[buckets * ENTRIES_PER_BUCKET];
   }
 
-  /** Creates a cache sized for an overloaded router, or a minimal one unless {@code enabled}. */
+  /**
+   * Creates a cache sized for the repeats that an overloaded router sees, or a minimal one unless
+   * {@code enabled}.
+   */
   static FingerprintCache forRepeats(boolean enabled) {
     return new FingerprintCache(enabled ? BUCKETS_FOR_REPEATS : 1);
   }
--- a/router/src/main/java/rushwood/overload/OverloadDetector.java
+++ b/router/src/main/java/rushwood/overload/OverloadDetector.java
@@ -166,7 +166,7 @@
   /** Returns the state and the smoothed rates per second, for the log. */
   @Override
   public String toString() {
-    // Not String.format, which would load its classes in the first busy second after the start.
+    // Not String.format, whose classes would be loaded in the first busy second after the start.
     return state
         + ": arrivals "
         + perSecond(arrivals)
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -106,6 +106,10 @@
     return group != null && group.unansweredRequests().take();
   }
 
+  /**
+   * Records the outcome of an attempt for the router, its group and its host. A timeout counts as a
+   * refusal for all three, a failed connect or a refusal by the overloaded host for the host only.
+   */
   void recordOutcome(AttemptResult result) {
     boolean succeeded = result.outcome() == AttemptOutcome.SUCCESS;
     boolean timedOut = result.outcome() == AttemptOutcome.TIMED_OUT;
--- a/router/src/main/java/rushwood/overload/package-info.java
+++ b/router/src/main/java/rushwood/overload/package-info.java
@@ -5,8 +5,8 @@
  * <p>{@link rushwood.overload.OverloadController} decorates the routing policy and answers it
  * through {@link rushwood.api.OverloadSignals}. The connection pool uses {@link
  * rushwood.overload.ConnectBackoff} and {@link rushwood.overload.DescriptorBudget}; the client
- * connections use {@link rushwood.overload.ConnectionAdmission} and the same budget. The design and
- * its alternatives are described in {@code docs/design-overload.md}.
+ * connections use {@link rushwood.overload.ConnectionAdmission} and the same budget. The design,
+ * its alternatives and figures are in {@code docs/design-overload.md}.
  *
  * <p>The package does no I/O, starts no threads and reads no clock: callers pass the time in
  * nanoseconds, on a clock that never goes back, and a seeded random generator. No class is
--- a/router/src/test/java/rushwood/overload/ConnectBackoffTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectBackoffTest.java
@@ -17,26 +17,26 @@
   void connectAttemptsAreLimitedAfterFailures() {
     ConnectBackoff backoff = new ConnectBackoff(new SplittableRandom(9), true);
     int attempts = 0;
-    for (long at = 0; at < 10_000 * NANOS_PER_MILLI; at += NANOS_PER_MILLI) {
+    for (long now = 0; now < 10_000 * NANOS_PER_MILLI; now += NANOS_PER_MILLI) {
       for (int i = 0; i < 20; i++) {
-        if (backoff.isAttemptAllowed(HOST, at)) {
+        if (backoff.isAttemptAllowed(HOST, now)) {
           backoff.attemptStarted(HOST);
           attempts++;
-          backoff.attemptFailed(HOST, at);
+          backoff.attemptFailed(HOST, now);
         }
       }
     }
     assertTrue(attempts > 15 && attempts < 50, attempts + " attempts in ten seconds");
-    long at = 11_000 * NANOS_PER_MILLI;
-    assertTrue(backoff.isAttemptAllowed(HOST, at));
+    long now = 11_000 * NANOS_PER_MILLI;
+    assertTrue(backoff.isAttemptAllowed(HOST, now));
     backoff.attemptStarted(HOST);
-    assertFalse(backoff.isAttemptAllowed(HOST, at), "one attempt at a time");
+    assertFalse(backoff.isAttemptAllowed(HOST, now), "one attempt at a time");
     backoff.attemptSucceeded(HOST);
     backoff.attemptStarted(HOST);
     assertTrue(
-        backoff.isAttemptAllowed(HOST, at), "a host that accepts connections is not limited");
+        backoff.isAttemptAllowed(HOST, now), "a host that accepts connections is not limited");
     backoff.forget(HOST);
-    backoff.attemptFailed(HOST, at);
+    backoff.attemptFailed(HOST, now);
     assertEquals(0, backoff.hostCount(), "a late failure of a forgotten host leaves no state");
   }
 }
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -36,7 +36,7 @@
     assertDecision(action, connection, admission.decideOverLimit(atMillis * NANOS_PER_MILLI));
   }
 
-  private static void assertNoDecision(EvictionDecision decision, String message) {
+  private static void assertNoConnectionChosen(EvictionDecision decision, String message) {
     assertEquals(Action.NONE, decision.action(), message);
     assertThrows(IllegalStateException.class, decision::connection);
   }
@@ -58,7 +58,7 @@
     // The other connections are awaiting a retry, busy or new.
     assertDecisionOverLimit(Action.REFUSE_NEWEST, newest, 350);
     admission.remove(newest);
-    assertNoDecision(
+    assertNoConnectionChosen(
         admission.decideOverLimit(749 * NANOS_PER_MILLI), "the client may still return");
     // The client has not returned within the tolerance after its Retry-After time.
     assertDecisionOverLimit(Action.CLOSE_IDLE, awaitingRetry, 750);
@@ -86,7 +86,7 @@
     AdmittedConnection newest = admit("newest", 1);
     assertDecisionOverLimit(Action.REFUSE_NEWEST, newest, 1);
     setState(newest, ConnectionState.BUSY, 1);
-    assertNoDecision(admission.decideOverLimit(1 * NANOS_PER_MILLI), "all are busy");
+    assertNoConnectionChosen(admission.decideOverLimit(1 * NANOS_PER_MILLI), "all are busy");
   }
 
   /** If most clients send only one request, idle connections are closed even below the limit. */
@@ -99,23 +99,23 @@
       largeAdmission.setState(idle.get(i), ConnectionState.IDLE, 0);
       largeAdmission.recordRequest(true);
     }
-    assertNoDecision(
+    assertNoConnectionChosen(
         largeAdmission.decideBelowLimit(1000 * NANOS_PER_MILLI), "connections are reused");
     for (int i = 0; i < 40; i++) {
       largeAdmission.recordRequest(false);
     }
-    assertNoDecision(
+    assertNoConnectionChosen(
         largeAdmission.decideBelowLimit(99 * NANOS_PER_MILLI), "not idle for long enough");
     for (int i = 0; i < 28; i++) {
       assertDecision(
           Action.CLOSE_IDLE, idle.get(i), largeAdmission.decideBelowLimit(100 * NANOS_PER_MILLI));
       largeAdmission.remove(idle.get(i));
     }
-    assertNoDecision(
+    assertNoConnectionChosen(
         largeAdmission.decideBelowLimit(1000 * NANOS_PER_MILLI),
         "an eighth of the limit may stay idle");
     largeAdmission.startShutdown();
-    assertNoDecision(
+    assertNoConnectionChosen(
         largeAdmission.decideBelowLimit(1000 * NANOS_PER_MILLI), "the router shuts down");
   }
 
--- a/router/src/test/java/rushwood/overload/OverloadControllerTest.java
+++ b/router/src/test/java/rushwood/overload/OverloadControllerTest.java
@@ -24,7 +24,7 @@
     }
     assertEquals(100, fixture.controller.trackedRequestCount());
     fixture.advanceMillis(2100); // past the deadline and the grace time; no timer has fired
-    fixture.disconnect("unknown"); // any event starts a tick
+    fixture.disconnect("unknown"); // this event ends the tick that is due
     assertEquals(0, fixture.controller.trackedRequestCount());
   }
 
--- a/router/src/test/java/rushwood/overload/RetryBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/RetryBudgetTest.java
@@ -13,11 +13,11 @@
     RetryBudget budget = new RetryBudget(0.2, 10);
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
-      long at = i * NANOS_PER_MILLI;
-      budget.recordUnlimitedAttempt(at);
+      long now = i * NANOS_PER_MILLI;
+      budget.recordUnlimitedAttempt(now);
       for (int j = 0; j < 3; j++) {
-        if (budget.isRetryAllowed(at)) {
-          budget.recordRetry(at);
+        if (budget.isRetryAllowed(now)) {
+          budget.recordRetry(now);
           retries++;
         }
       }
