--- a/router/src/main/java/rushwood/net/ConnectionRegistry.java
+++ b/router/src/main/java/rushwood/net/ConnectionRegistry.java
@@ -54,7 +54,7 @@
   AdmissionReporter add(FrontendConnection connection, long now) {
     connections.add(connection);
     connectionsByCancelKey.put(connection.cancelKey(), connection);
-    descriptorBudget.setOpenClients(connections.size());
+    descriptorBudget.setOpenClientConnections(connections.size());
     return new AdmissionReporter(admission, admission.admit(connection, now));
   }
 
@@ -69,7 +69,7 @@
     }
     connectionsByCancelKey.remove(connection.cancelKey());
     admission.remove(admitted);
-    descriptorBudget.setOpenClients(connections.size());
+    descriptorBudget.setOpenClientConnections(connections.size());
     return true;
   }
 
--- a/router/src/test/java/rushwood/overload/RetryBudgetTest.java
+++ b/router/src/test/java/rushwood/overload/RetryBudgetTest.java
@@ -7,22 +7,23 @@
 class RetryBudgetTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** A fifth of the first attempts, and at most ten a second and the initial tokens on top. */
+  /** Allows one retry for five first attempts, ten more per second, and the initial 20 tokens. */
   @Test
   void retriesStayWithinBudget() {
     RetryBudget budget = new RetryBudget(0.2, 10);
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
-      long at = i * NANOS_PER_MILLI;
-      budget.recordUnlimitedAttempt(at);
+      long now = i * NANOS_PER_MILLI;
+      budget.recordUnlimitedAttempt(now);
       for (int j = 0; j < 3; j++) {
-        if (budget.isRetryAllowed(at)) {
-          budget.recordRetry(at);
+        if (budget.isRetryAllowed(now)) {
+          budget.recordRetry(now);
           retries++;
         }
       }
     }
     assertTrue(
-        retries >= 2000 && retries <= 2000 + 100 + 20, retries + " for 10,000 in ten seconds");
+        retries >= 2000 && retries <= 2000 + 100 + 20,
+        retries + " retries for 10,000 first attempts in ten seconds");
   }
 }
