--- a/router/src/main/java/rushwood/discovery/DiscoveryClient.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryClient.java
@@ -11,37 +11,40 @@
 import rushwood.dispatch.TimerQueue;
 
 /**
- * Keeps the router's endpoint list current: makes the polls and watches that {@link
- * EndpointRefreshPolicy} asks for, when it asks for them, and passes the lists that are to be
- * applied to a {@link Listener}.
+ * Keeps the router's endpoint list up to date. Makes the polls and watches that {@link
+ * EndpointRefreshPolicy} requests, and passes the lists to apply to a {@link Listener}.
  *
- * <p>Runs on one event loop: every method and every listener call, from there.
+ * <p>Not thread-safe: all methods must be called on one event loop, which also calls the listener.
  */
 public final class DiscoveryClient {
-  /** Receives the endpoint lists and the failures. */
+  /** Receives endpoint lists and failures. */
   public interface Listener {
-    /** A list that is to be applied. */
+    /** Called with a list to apply. */
     void listReceived(EndpointList list);
 
-    /** Endpoints that are draining or removed, from a list that is not applied otherwise. */
+    /** Called with the draining and removed endpoints of a list that is ignored or unreadable. */
     void endpointsLeaving(List<PartialEndpoint> endpoints);
 
-    /** A poll brought the list that is in force already. */
+    /** Called if a poll has returned the current list. */
     void listUnchanged();
 
-    /** A request failed; {@code reason} goes on after "discovery", as in "does not respond". */
+    /**
+     * Called if a request has failed.
+     *
+     * @param reason rest of a sentence that begins with "discovery", for example "does not respond"
+     */
     void requestFailed(String reason);
 
-    /** A part of a list could not be read; the rest is passed on. */
+    /** Called for each invalid part of a list. */
     void problemFound(String problem);
   }
 
   /**
-   * What the client needs to know of the router and its agent.
+   * Settings of the client.
    *
-   * @param address the agent's
-   * @param drainGraceNanos time after which a leaving endpoint may get nothing new
-   * @param lastKnownVersion version of the list held from an earlier process, 0 for none
+   * @param address address of the agent
+   * @param drainGraceNanos how long a draining or removed endpoint may still receive new requests
+   * @param lastKnownVersion version of the list that an earlier process saved, 0 if there is none
    */
   public record Settings(InetSocketAddress address, long drainGraceNanos, long lastKnownVersion) {}
 
@@ -69,10 +72,7 @@
     address = settings.address();
     refreshPolicy =
         new EndpointRefreshPolicy(
-            settings.drainGraceNanos(),
-            settings.lastKnownVersion(),
-            random,
-            new RequestsAndTimer());
+            settings.drainGraceNanos(), settings.lastKnownVersion(), random, new ClientTransport());
   }
 
   /** Polls the agent at once, then keeps the list current until {@link #close}. */
@@ -81,15 +81,15 @@
   }
 
   /**
-   * Polls the agent at another address at once. Versions of the agent before do not compare with
-   * its own, and that requests to the old address end is no failure.
+   * Switches to the agent at another address and polls it at once. Its versions are not compared
+   * with those of the previous agent, and the end of a watch of the previous agent causes no poll.
    */
   public void changeAddress(InetSocketAddress newAddress) {
     address = newAddress;
     refreshPolicy.addressChanged(clock.now());
   }
 
-  /** Closes all requests and the timer. */
+  /** Closes all requests and cancels the timer. */
   public void close() {
     refreshPolicy.stop();
     if (wakeup != null) {
@@ -97,8 +97,8 @@
     }
   }
 
-  /** Carries out what the policy orders. */
-  private final class RequestsAndTimer implements EndpointRefreshPolicy.Transport {
+  /** Makes the requests of the policy and schedules its timer. */
+  private final class ClientTransport implements EndpointRefreshPolicy.Transport {
     @Override
     public void open(int requestNumber, boolean watch, long sinceVersion) {
       ListRequest request =
--- a/router/src/main/java/rushwood/discovery/DiscoveryConnector.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryConnector.java
@@ -23,32 +23,34 @@
 import java.net.InetSocketAddress;
 
 /**
- * Makes HTTP requests to the discovery agent, each on a connection of its own. Used on one event
- * loop only, which also calls the handlers.
+ * Makes HTTP requests to the discovery agent, each on its own connection. Used on one event loop
+ * only, which also calls the handlers.
  */
 public final class DiscoveryConnector {
   /**
-   * Receives the response to one request. Calls that come after the request was closed are to be
-   * ignored.
+   * Receives the response to one request. An implementation must ignore calls after it has closed
+   * the request.
    */
   interface ResponseHandler {
     /**
-     * A part of the response's body.
+     * Called for each part of the response's body.
      *
-     * @param content valid during this call only
-     * @param last whether the response ends with it
+     * @param content valid only during this call
+     * @param last whether this is the end of the response
      */
     void bodyReceived(ByteBuf content, boolean last);
 
     /**
-     * The request cannot succeed any more. It is to be closed; until then this may be called again.
+     * Called if the request has failed. The handler closes the request; until then this method may
+     * be called again.
      *
-     * @param reason goes on after "discovery", as in "cannot be reached"
+     * @param reason rest of a sentence that begins with "discovery", for example "cannot be
+     *     reached"
      */
     void requestFailed(String reason);
   }
 
-  /** A request that has been made. */
+  /** Connection of a request. */
   interface OpenConnection {
     /** Closes the connection, whether or not it is established. */
     void close();
@@ -56,13 +58,13 @@
 
   private final EventLoop eventLoop;
 
-  /** Creates a connector whose connections belong to {@code eventLoop}. */
+  /** Creates a connector whose connections are registered with {@code eventLoop}. */
   public DiscoveryConnector(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
   /**
-   * Connects and sends a GET request, without a time limit. May call the handler before it returns.
+   * Connects and sends a GET request, without a timeout. May call the handler before it returns.
    */
   OpenConnection get(InetSocketAddress address, String path, ResponseHandler handler) {
     Bootstrap bootstrap =
@@ -76,7 +78,8 @@
                   protected void initChannel(Channel channel) {
                     channel
                         .pipeline()
-                        .addLast(new HttpClientCodec(), new GetRequest(address, path, handler));
+                        .addLast(
+                            new HttpClientCodec(), new GetRequestHandler(address, path, handler));
                   }
                 });
     ChannelFuture connecting = bootstrap.connect(address);
@@ -90,12 +93,12 @@
   }
 
   /** Sends the request once the connection is established, and reads the response. */
-  private static final class GetRequest extends SimpleChannelInboundHandler<HttpObject> {
+  private static final class GetRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
     private final InetSocketAddress address;
     private final String path;
     private final ResponseHandler handler;
 
-    GetRequest(InetSocketAddress address, String path, ResponseHandler handler) {
+    GetRequestHandler(InetSocketAddress address, String path, ResponseHandler handler) {
       this.address = address;
       this.path = path;
       this.handler = handler;
@@ -130,7 +133,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      handler.requestFailed(String.valueOf(cause.getMessage()));
+      handler.requestFailed("connection failed: " + cause.getMessage());
     }
   }
 }
--- a/router/src/main/java/rushwood/discovery/DiscoveryProtocol.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryProtocol.java
@@ -3,14 +3,14 @@
 import rushwood.api.Endpoint;
 
 /**
- * Names and figures of the discovery agent's protocol. They are fixed by the agent; the rest of the
- * router uses its own terms.
+ * Names and constants of the discovery agent's protocol. They are defined by the agent; the rest of
+ * the router uses its own terms.
  */
 final class DiscoveryProtocol {
-  /** A GET of this path answers with the complete list. */
+  /** Path of the complete list. */
   static final String LIST_PATH = "/registry/instances";
 
-  /** An agent sends an empty line on an idle watch this often. */
+  /** Interval at which the agent sends an empty line on an idle watch. */
   static final long HEARTBEAT_NANOS = 2_000_000_000L;
 
   static final String VERSION = "version";
@@ -30,19 +30,23 @@
   private static final String STATE_READY = "Ready";
   private static final String STATE_DRAINING = "Terminating";
   private static final String STATE_REMOVED = "Gone";
-  private static final int MAX_QUOTED_LENGTH = 20;
+  private static final int MAX_QUOTED_CHARS = 20;
 
   private DiscoveryProtocol() {}
 
-  /** The path that sends the changes after {@code sinceVersion} and stays open for later ones. */
+  /**
+   * Returns the path of a watch. Its response contains the changes after {@code sinceVersion} and
+   * stays open for later changes.
+   */
   static String watchPath(long sinceVersion) {
     return LIST_PATH + "?follow=1&since=" + sinceVersion;
   }
 
   /**
-   * The state that a value of the field {@code state} stands for.
+   * Parses a value of the field {@code state}.
    *
-   * @throws InvalidFieldException for an unknown value; its message quotes the first 20 characters
+   * @throws InvalidFieldException if the value is unknown; the message quotes its first 20
+   *     characters
    */
   static Endpoint.State parseState(String value) {
     return switch (value) {
@@ -54,16 +58,16 @@
   }
 
   /**
-   * Whether an entry may be of an endpoint that is draining or removed. An entry without either
-   * word, and without an escape sequence that could stand for a part of it, is not.
+   * Returns whether the JSON of an entry may describe a draining or removed endpoint: it contains
+   * the name of such a state, or an escape sequence that could stand for a part of the name.
    */
-  static boolean canBeLeaving(String entry) {
+  static boolean mayBeLeaving(String entry) {
     return entry.contains(STATE_DRAINING)
         || entry.contains(STATE_REMOVED)
         || entry.indexOf('\\') >= 0;
   }
 
   private static String quote(String value) {
-    return value.substring(0, Math.min(MAX_QUOTED_LENGTH, value.length())).replaceAll("\\s", "_");
+    return value.substring(0, Math.min(MAX_QUOTED_CHARS, value.length())).replaceAll("\\s", "_");
   }
 }
--- a/router/src/main/java/rushwood/discovery/EndpointAddressParser.java
+++ b/router/src/main/java/rushwood/discovery/EndpointAddressParser.java
@@ -6,11 +6,11 @@
 import java.net.UnknownHostException;
 import java.util.Optional;
 
-/** Parses an IP address and port, as in {@code 10.1.0.18:6432}. */
+/** Parses an IP address with a port, such as {@code 10.1.0.18:6432}. */
 public final class EndpointAddressParser {
   private EndpointAddressParser() {}
 
-  /** The address; empty if {@code text} is none. Host names are none: nothing is looked up. */
+  /** Returns the address; empty if {@code text} is invalid. Host names are not resolved. */
   public static Optional<InetSocketAddress> parse(String text) {
     int colon = text.lastIndexOf(':');
     try {
@@ -21,7 +21,8 @@
         return Optional.of(new InetSocketAddress(InetAddress.getByAddress(ip), port));
       }
     } catch (IllegalArgumentException | UnknownHostException e) {
-      // no port, or one out of range; an IP address of four or sixteen bytes is never unknown
+      // The port is not a number or out of range. UnknownHostException does not occur, because the
+      // IP address has 4 or 16 bytes.
     }
     return Optional.empty();
   }
--- a/router/src/main/java/rushwood/discovery/EndpointEntryDecoder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointEntryDecoder.java
@@ -19,14 +19,14 @@
   private EndpointEntryDecoder() {}
 
   /**
-   * Decodes a complete entry.
+   * Decodes an entry.
    *
-   * @throws InvalidFieldException for the first field that cannot be used
+   * @throws InvalidFieldException for the first field that is missing or invalid
    */
   static EndpointAddress decode(JsonObject entry) {
     Endpoint.State state = decodeState(entry);
     double weight = JsonFields.optionalNumber(entry, DiscoveryProtocol.WEIGHT, DEFAULT_WEIGHT);
-    if (!(weight > 0)) { // NaN included
+    if (!(weight > 0)) { // also rejects NaN
       throw InvalidFieldException.missingOrUnreadable(DiscoveryProtocol.WEIGHT);
     }
     boolean primary = decodePrimary(entry);
@@ -36,15 +36,17 @@
             decodeGroup(entry),
             decodeZone(entry),
             weight,
-            decodeStartTime(entry),
+            decodeStartTimeNanos(entry),
             primary,
             state);
     return new EndpointAddress(endpoint, decodeAddress(entry));
   }
 
   /**
-   * Decodes what matters of an entry that {@link #decode} rejects: the host and, if it is readable,
-   * the state. Empty if not even the host can be read.
+   * Decodes the host ID and the state of an entry that {@link #decode} rejects. The state is null
+   * if it is missing or invalid.
+   *
+   * @return the host and its state; empty if the host ID is missing or invalid
    */
   static Optional<PartialEndpoint> decodePartial(JsonObject entry) {
     HostId id;
@@ -82,7 +84,7 @@
             : UNKNOWN_ZONE);
   }
 
-  private static long decodeStartTime(JsonObject entry) {
+  private static long decodeStartTimeNanos(JsonObject entry) {
     long startedAtMillis =
         (long) JsonFields.optionalNumber(entry, DiscoveryProtocol.STARTED_AT_MILLIS, 0);
     return startedAtMillis * NANOS_PER_MILLI;
--- a/router/src/main/java/rushwood/discovery/EndpointList.java
+++ b/router/src/main/java/rushwood/discovery/EndpointList.java
@@ -9,15 +9,15 @@
 import rushwood.dispatch.PartialEndpoint;
 
 /**
- * One list that discovery sent.
+ * An endpoint list from discovery.
  *
- * @param version the agent's version of the list, never negative; empty if it cannot be read
- * @param complete whether this is the complete list, not only the entries that changed
- * @param unchanged whether it equals the list in force; its entries were then not decoded
- * @param checksum equal for lists of equal content, whatever their white space
- * @param endpoints the entries that could be decoded
- * @param partialEndpoints what could be read of the other entries
- * @param problems what could not be read, twenty problems at most, each with the field's name
+ * @param version the agent's version of the list, never negative; empty if it is missing or invalid
+ * @param complete whether this is the complete list rather than only the changed entries
+ * @param unchanged whether it equals the current list; its entries are then not decoded
+ * @param checksum hash of the list's JSON without white space
+ * @param endpoints the valid entries
+ * @param partialEndpoints the host and state of those invalid entries whose host can be read
+ * @param problems descriptions of what is invalid, at most 20, each with the name of the field
  */
 public record EndpointList(
     OptionalLong version,
@@ -28,22 +28,23 @@
     List<PartialEndpoint> partialEndpoints,
     List<String> problems) {
 
-  /** The complete list, equal to the cached one of that version. */
+  /** Creates a complete list that equals the cached list of this version. */
   static EndpointList unchanged(long version, long checksum) {
     return new EndpointList(
         OptionalLong.of(version), true, true, checksum, List.of(), List.of(), List.of());
   }
 
-  /** Whether all of it could be read. */
+  /** Returns whether the whole list is valid. */
   boolean isWellFormed() {
     return problems.isEmpty();
   }
 
-  /** The entries that are draining or removed, those that could be read only in part first. */
+  /** Returns the draining and removed endpoints, those of invalid entries first. */
   List<PartialEndpoint> leavingEndpoints() {
     return leavingEndpoints(endpoints, partialEndpoints);
   }
 
+  /** Returns the draining and removed ones among these endpoints, the partial ones first. */
   static List<PartialEndpoint> leavingEndpoints(
       List<EndpointAddress> endpoints, List<PartialEndpoint> partialEndpoints) {
     Stream<PartialEndpoint> decoded =
--- a/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
@@ -10,31 +10,31 @@
 
 /** Collects the decoded entries of one list and the problems found in it. */
 final class EndpointListBuilder {
-  /** Problems reported of one list: the further ones are usually of the same kind. */
+  /** Maximum number of problems reported per list; further ones are usually of the same kind. */
   private static final int MAX_PROBLEMS = 20;
 
-  private static final String NON_ENTRY =
-      DiscoveryProtocol.ENTRIES + " has an element that is no entry";
+  private static final String INVALID_ELEMENT =
+      DiscoveryProtocol.ENTRIES + " has an element that is not an entry";
 
   private final List<EndpointAddress> endpoints = new ArrayList<>();
   private final List<PartialEndpoint> partialEndpoints = new ArrayList<>();
   private final List<String> problems = new ArrayList<>();
 
-  /** Decodes the text of an entry. */
+  /** Decodes and adds an entry; reports text other than a JSON object as a problem. */
   void addEntry(String json) {
     try {
       addEntry(JsonFields.parseObject(json));
     } catch (MalformedListException e) {
-      addNonEntry();
+      addInvalidElement();
     }
   }
 
-  /** Decodes an entry; anything but an object is none. */
+  /** Decodes and adds an entry; reports an element other than an object as a problem. */
   void addEntry(JsonElement element) {
     if (element.isJsonObject()) {
       addEntry(element.getAsJsonObject());
     } else {
-      addNonEntry();
+      addInvalidElement();
     }
   }
 
@@ -47,42 +47,46 @@
     }
   }
 
-  /** An element of the array of entries that is no entry. */
-  void addNonEntry() {
-    addProblem(NON_ENTRY);
+  /** Reports an element of the array of entries that is not an entry. */
+  void addInvalidElement() {
+    addProblem(INVALID_ELEMENT);
   }
 
-  /** Takes host and state of an entry that was cut off and closed; nothing if that is no JSON. */
+  /**
+   * Adds the host and state of an entry that was cut off and closed. Adds nothing if the text is
+   * not a JSON object or has no host ID.
+   */
   void addTruncatedEntry(String json) {
     try {
       EndpointEntryDecoder.decodePartial(JsonFields.parseObject(json))
           .ifPresent(partialEndpoints::add);
     } catch (MalformedListException e) {
-      // Cut inside a nested value: nothing of the entry can be told.
+      // The entry was cut off inside a nested value, and nothing of it can be read.
     }
   }
 
-  /** The endpoints decoded so far that are draining or removed. */
+  /** Returns the endpoints added so far that are draining or removed. */
   List<PartialEndpoint> leavingEndpoints() {
     return EndpointList.leavingEndpoints(endpoints, partialEndpoints);
   }
 
   /**
-   * Builds the list from what was added and from its other fields.
+   * Builds the list from the added entries and the header.
    *
-   * @param header the list's object; of its array of entries only the presence counts
-   * @param completeExpected whether the list is complete if it does not say so itself
+   * @param header the list's object; the content of its array of entries is not read
+   * @param completeByDefault whether the list is complete if its flag is missing or invalid
+   * @param checksum the list's checksum
    */
-  EndpointList build(JsonObject header, boolean completeExpected, long checksum) {
+  EndpointList build(JsonObject header, boolean completeByDefault, long checksum) {
     OptionalLong version = decodeVersion(header);
     if (version.isEmpty()) {
       addProblem(InvalidFieldException.missingOrUnreadable(DiscoveryProtocol.VERSION).getMessage());
     }
-    boolean complete = decodeComplete(header, completeExpected);
+    boolean complete = decodeComplete(header, completeByDefault);
     JsonElement entries = header.get(DiscoveryProtocol.ENTRIES);
     if (entries == null || !entries.isJsonArray()) {
       addProblem(InvalidFieldException.missingOrUnreadable(DiscoveryProtocol.ENTRIES).getMessage());
-      complete = false; // without an array it does not say that no endpoint is left
+      complete = false; // a missing array does not mean that there are no endpoints
     }
     return new EndpointList(
         version,
@@ -94,7 +98,7 @@
         List.copyOf(problems));
   }
 
-  /** The list's version; empty if it is missing, no number or negative. */
+  /** Returns the list's version; empty if it is missing, not a number or negative. */
   static OptionalLong decodeVersion(JsonObject header) {
     try {
       long version = (long) JsonFields.requiredNumber(header, DiscoveryProtocol.VERSION);
@@ -104,12 +108,12 @@
     }
   }
 
-  private boolean decodeComplete(JsonObject header, boolean expected) {
+  private boolean decodeComplete(JsonObject header, boolean defaultValue) {
     try {
       return JsonFields.requiredFlag(header, DiscoveryProtocol.COMPLETE);
     } catch (InvalidFieldException e) {
       addProblem(e.getMessage());
-      return expected;
+      return defaultValue;
     }
   }
 
--- a/router/src/main/java/rushwood/discovery/EndpointListParser.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListParser.java
@@ -10,43 +10,45 @@
 import rushwood.dispatch.PartialEndpoint;
 
 /**
- * Parses the endpoint lists of one response: JSON objects one after the other, with any white
- * space, in buffers cut anywhere.
+ * Parses the endpoint lists of one response: a sequence of JSON objects with any white space, split
+ * into buffers at any byte.
  *
- * <p>Entries are decoded one by one when the list has ended or has turned out to be unreadable. An
- * invalid entry does not affect the others: the host and state that can be read of it are kept, and
- * its first invalid field is reported as a problem.
+ * <p>Entries are decoded one by one once the list has ended or has proved unreadable. An invalid
+ * entry does not affect the others: its host and state are kept if they can be read, and its first
+ * invalid field is reported as a problem.
  */
 public final class EndpointListParser {
   private static final int CHUNK_BYTES = 4 << 10;
 
   private final EndpointListTokenizer tokenizer = new EndpointListTokenizer();
   private final byte[] chunk = new byte[CHUNK_BYTES];
-  private final boolean completeExpected;
+  private final boolean completeByDefault;
   private final OptionalLong cachedVersion;
   private final long cachedChecksum;
 
   private EndpointListParser(
-      boolean completeExpected, OptionalLong cachedVersion, long cachedChecksum) {
-    this.completeExpected = completeExpected;
+      boolean completeByDefault, OptionalLong cachedVersion, long cachedChecksum) {
+    this.completeByDefault = completeByDefault;
     this.cachedVersion = cachedVersion;
     this.cachedChecksum = cachedChecksum;
   }
 
-  /** A parser of the changes that a watch brings. */
+  /** Creates a parser for the response to a watch, whose lists contain only changed entries. */
   public static EndpointListParser forWatch() {
     return new EndpointListParser(false, OptionalLong.empty(), 0);
   }
 
   /**
-   * A parser of the complete list that a poll brings. A list of the cached version and checksum is
-   * not decoded again; an empty version stands for no cached list.
+   * Creates a parser for the response to a poll, which is the complete list. A list with the cached
+   * version and checksum is not decoded again.
+   *
+   * @param cachedVersion empty if there is no cached list
    */
   public static EndpointListParser forPoll(OptionalLong cachedVersion, long cachedChecksum) {
     return new EndpointListParser(true, cachedVersion, cachedChecksum);
   }
 
-  /** Decodes a complete list that is a JSON object already, by the same rules. */
+  /** Decodes a complete list that is already parsed as JSON, by the same rules. */
   public static EndpointList decode(JsonObject list) {
     EndpointListBuilder builder = new EndpointListBuilder();
     JsonElement entries = list.get(DiscoveryProtocol.ENTRIES);
@@ -57,11 +59,11 @@
   }
 
   /**
-   * Reads from {@code in} up to the end of the next list, which may have begun in earlier buffers.
+   * Reads {@code in} up to the end of the next list, which may have begun in an earlier buffer.
    *
-   * @return the list; null once {@code in} is used up
-   * @throws UnreadableListException if what was read is no list or exceeds a bound; the next byte
-   *     is taken for the beginning of a list
+   * @return the list, or null if {@code in} has no more bytes and the list has not ended
+   * @throws UnreadableListException if the input is not a list or exceeds a size limit; the next
+   *     byte is then expected to begin a list
    */
   @Nullable EndpointList next(ByteBuf in) throws UnreadableListException {
     while (in.isReadable()) {
@@ -69,7 +71,7 @@
       in.getBytes(in.readerIndex(), chunk, 0, size);
       for (int i = 0; i < size; i++) {
         if (accept(chunk[i])) {
-          EndpointList list = decodeList();
+          EndpointList list = decodeCurrentList();
           in.skipBytes(i + 1);
           return list;
         }
@@ -79,19 +81,19 @@
     return null;
   }
 
-  /** Whether no list has begun that has not ended. */
+  /** Returns whether the last list is complete or none has begun. */
   boolean isBetweenLists() {
     return tokenizer.isBetweenLists();
   }
 
   /**
-   * The response has ended.
+   * Checks that the response may end here.
    *
-   * @throws UnreadableListException if that is in the middle of a list
+   * @throws UnreadableListException if a list has begun and not ended
    */
   void finish() throws UnreadableListException {
     if (!isBetweenLists()) {
-      throw unreadable("it ends in the middle");
+      throw abandonList("the response ended before the end of the list");
     }
   }
 
@@ -99,26 +101,26 @@
     try {
       return tokenizer.accept(next);
     } catch (MalformedListException e) {
-      throw unreadable(e.getMessage());
+      throw abandonList(e.getMessage());
     }
   }
 
-  private EndpointList decodeList() throws UnreadableListException {
+  private EndpointList decodeCurrentList() throws UnreadableListException {
     JsonObject header;
     try {
       header = JsonFields.parseObject(tokenizer.header());
     } catch (MalformedListException e) {
-      throw unreadable(e.getMessage());
+      throw abandonList(e.getMessage());
     }
     if (isCached(header)) {
       return EndpointList.unchanged(cachedVersion.getAsLong(), tokenizer.checksum());
     }
     EndpointListBuilder builder = new EndpointListBuilder();
-    for (int i = 0; i < tokenizer.nonEntryCount(); i++) {
-      builder.addNonEntry();
+    for (int i = 0; i < tokenizer.invalidElementCount(); i++) {
+      builder.addInvalidElement();
     }
     decodeEntries(builder, entry -> true);
-    return builder.build(header, completeExpected, tokenizer.checksum());
+    return builder.build(header, completeByDefault, tokenizer.checksum());
   }
 
   private boolean isCached(JsonObject header) {
@@ -137,12 +139,13 @@
   }
 
   /**
-   * Drops the list that cannot be read further; the exception has its leaving endpoints so far.
-   * Other entries are not decoded: the list may be huge, and it is asked for again soon.
+   * Discards the list that cannot be read further, and returns an exception with its leaving
+   * endpoints so far. Does not decode other entries, because the list may be huge and is requested
+   * again soon.
    */
-  private UnreadableListException unreadable(String reason) {
+  private UnreadableListException abandonList(String reason) {
     EndpointListBuilder builder = new EndpointListBuilder();
-    decodeEntries(builder, DiscoveryProtocol::canBeLeaving);
+    decodeEntries(builder, DiscoveryProtocol::mayBeLeaving);
     tokenizer.truncatedEntry().ifPresent(builder::addTruncatedEntry);
     List<PartialEndpoint> leavingEndpoints = builder.leavingEndpoints();
     tokenizer.reset();
--- a/router/src/main/java/rushwood/discovery/EndpointListTokenizer.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListTokenizer.java
@@ -5,32 +5,34 @@
 import java.util.Optional;
 
 /**
- * Finds where an endpoint list and each of its entries begin and end, in JSON that arrives in parts
- * cut anywhere. It tracks brackets and strings only; whether the text between them is valid JSON is
- * for the decoder to say. White space outside strings is dropped.
+ * Finds where an endpoint list and each of its entries begin and end in JSON that arrives byte by
+ * byte. Tracks only brackets and strings; the decoder checks that the text is valid JSON. Drops
+ * white space outside strings.
  *
- * <p>A list is kept in two parts: the header (the object with an empty array of entries) and the
- * entries. Both stay readable until the next list begins, after a fault too.
+ * <p>Keeps a list in two parts: the header (the list's object with an empty array of entries) and
+ * the entries. Both remain available until the next list begins, also after a {@link
+ * MalformedListException}.
  */
 final class EndpointListTokenizer {
-  /** Sixteen times the largest list of a deployment; decoded they take 5 MB. */
+  /** 16 times the largest list of a deployment; the decoded entries take 5 MB. */
   private static final int MAX_ENTRIES = 1 << 14;
 
-  /** Bytes without white space: {@link #MAX_ENTRIES} entries of the usual size. */
+  /** Limit without white space: {@link #MAX_ENTRIES} entries of the usual size. */
   private static final int MAX_LIST_BYTES = 4 << 20;
 
-  /** Bytes without white space: fifty times the usual entry. */
+  /** Limit without white space: 50 times the usual size of an entry. */
   private static final int MAX_ENTRY_BYTES = 16 << 10;
 
-  /** Bytes without white space: far more than the header's two small fields need. */
+  /** Limit without white space: far more than the header's two small fields need. */
   private static final int MAX_HEADER_BYTES = 16 << 10;
 
   private static final int INITIAL_HEADER_BYTES = 128;
   private static final String ENTRIES_KEY = "\"" + DiscoveryProtocol.ENTRIES + "\":";
 
-  /** Depth of brackets inside the list's object, and inside its array of entries. */
+  /** Bracket depth inside the list's object, outside its array of entries. */
   private static final int LIST_DEPTH = 1;
 
+  /** Bracket depth inside the array of entries, outside an entry. */
   private static final int ENTRIES_DEPTH = 2;
 
   /** Multiplier of the 64-bit FNV-0 hash. */
@@ -42,13 +44,14 @@
   private boolean insideString;
   private boolean escaped;
   private boolean insideEntries;
-  private int nonEntryCount;
+  private int invalidElementCount;
   private long checksum;
 
   /**
-   * Takes the next byte.
+   * Consumes the next byte.
    *
    * @return whether it is the last byte of a list
+   * @throws MalformedListException if the byte cannot belong to a list or exceeds a size limit
    */
   boolean accept(byte next) throws MalformedListException {
     boolean whiteSpace = isWhiteSpace(next);
@@ -58,7 +61,7 @@
       }
       if (next != '{') {
         String found = next > ' ' ? String.valueOf((char) next) : String.valueOf(next);
-        throw new MalformedListException("no JSON object: it begins with " + found);
+        throw new MalformedListException("expected a JSON object but found " + found);
       }
       reset();
     }
@@ -69,60 +72,61 @@
     return !whiteSpace && acceptOutsideString(next);
   }
 
-  /** Whether no list has begun that has not ended. */
+  /** Returns whether the last list is complete or none has begun. */
   boolean isBetweenLists() {
     return depth == 0;
   }
 
-  /** The list's object with an empty array in place of the entries. */
+  /** Returns the list's object as JSON, with an empty array in place of the entries. */
   String header() {
     return header.toString(StandardCharsets.UTF_8);
   }
 
-  /** Entries that have ended. */
+  /** Returns the number of complete entries. */
   int entryCount() {
     return entries.entryCount();
   }
 
+  /** Returns the JSON of a complete entry, counted from 0. */
   String entry(int index) {
     return entries.entry(index);
   }
 
-  /** Elements of the array of entries that are no objects. */
-  int nonEntryCount() {
-    return nonEntryCount;
+  /** Returns the number of gaps between entries with other elements, for example numbers. */
+  int invalidElementCount() {
+    return invalidElementCount;
   }
 
-  /** FNV-0 hash of the list without white space, bytes taken as signed. */
+  /** Returns the 64-bit FNV-0 hash of the list without white space; bytes are signed. */
   long checksum() {
     return checksum;
   }
 
   /**
-   * The entry that has begun and not ended, closed after its last complete field. Empty if it has
-   * no complete field, or if none is open.
+   * Returns the JSON of the incomplete entry at the end of the input, cut off and closed after its
+   * last complete field. Empty if there is no such entry or it has no complete field.
    */
   Optional<String> truncatedEntry() {
     if (!insideEntries) {
       return Optional.empty();
     }
-    String openEntry = entries.openEntry();
-    int lastComma = openEntry.lastIndexOf(',');
-    if (lastComma <= 0 || openEntry.charAt(0) != '{') {
+    String pending = entries.pendingText();
+    int lastComma = pending.lastIndexOf(',');
+    if (lastComma <= 0 || pending.charAt(0) != '{') {
       return Optional.empty();
     }
-    return Optional.of(openEntry.substring(0, lastComma) + "}");
+    return Optional.of(pending.substring(0, lastComma) + "}");
   }
 
-  /** Forgets what has been read; the next byte is expected to begin a list. */
+  /** Discards the list; the next byte is expected to begin another one. */
   void reset() {
     header.reset();
-    entries = new EntryBuffer(); // not reused: a long list must not hold its memory for short ones
+    entries = new EntryBuffer(); // not reused, so that the memory of a long list is released
     depth = 0;
     insideString = false;
     escaped = false;
     insideEntries = false;
-    nonEntryCount = 0;
+    invalidElementCount = 0;
     checksum = 0;
   }
 
@@ -132,8 +136,9 @@
 
   private void acceptInsideString(byte next) throws MalformedListException {
     if (next >= 0 && next < ' ') {
-      // JSON has no bare control characters in strings: a truncated list runs on into the next.
-      throw new MalformedListException("a text that does not end");
+      // JSON strings contain no unescaped control characters. The list is truncated, and the line
+      // break before the next list would otherwise become part of the string.
+      throw new MalformedListException("unterminated string");
     }
     append(next);
     if (escaped) {
@@ -163,7 +168,7 @@
       appendToHeader(next);
     } else {
       if (insideEntries && depth == ENTRIES_DEPTH) {
-        discardBetweenEntries();
+        discardSeparator();
       }
       append(next);
     }
@@ -173,7 +178,7 @@
   private void closeBracket(byte next) throws MalformedListException {
     depth--;
     if (insideEntries && depth == LIST_DEPTH) {
-      discardBetweenEntries();
+      discardSeparator();
       insideEntries = false;
       appendToHeader(next);
     } else {
@@ -192,13 +197,13 @@
     }
   }
 
-  /** Drops what stands between two entries; anything but the comma is an element that is none. */
-  private void discardBetweenEntries() {
-    String between = entries.openEntry();
-    if (!between.isEmpty() && !between.equals(",")) {
-      nonEntryCount++;
+  /** Discards the text between two entries; anything but a comma is an invalid element. */
+  private void discardSeparator() {
+    String separator = entries.pendingText();
+    if (!separator.isEmpty() && !separator.equals(",")) {
+      invalidElementCount++;
     }
-    entries.discardOpenEntry();
+    entries.discardPending();
   }
 
   private void append(byte next) throws MalformedListException {
@@ -208,7 +213,7 @@
     }
     addToChecksum(next);
     entries.write(next);
-    if (entries.openEntryBytes() > MAX_ENTRY_BYTES) {
+    if (entries.pendingBytes() > MAX_ENTRY_BYTES) {
       throw new MalformedListException(
           DiscoveryProtocol.ENTRIES + " has an entry longer than " + MAX_ENTRY_BYTES + " bytes");
     }
@@ -223,7 +228,7 @@
     header.write(next);
     if (header.size() > MAX_HEADER_BYTES) {
       throw new MalformedListException(
-          "more than " + MAX_HEADER_BYTES + " bytes beside " + DiscoveryProtocol.ENTRIES);
+          "more than " + MAX_HEADER_BYTES + " bytes outside " + DiscoveryProtocol.ENTRIES);
     }
   }
 
--- a/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
+++ b/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
@@ -5,70 +5,74 @@
 import rushwood.discovery.OpenRequests.OpenRequest;
 
 /**
- * Decides when to poll the discovery agent for the complete list and when to watch its changes, so
- * that the router's list is never older than part of the drain grace, whatever fails.
+ * Decides when to poll the discovery agent for the complete list and when to watch it for changes,
+ * so that a change reaches the router within part of the drain grace although requests may fail.
  *
- * <p>The platform takes the router to know a change as soon as the agent has it, whether or not a
- * request has brought it. So the complete list is polled first, then its changes are watched. As
- * the heartbeats of a watch do not prove that it still delivers changes, the complete list is also
- * polled again at intervals that follow from the grace.
+ * <p>The platform assumes that the router knows a change as soon as the agent has it, whether or
+ * not the agent has sent it. Therefore the router first polls the complete list and then watches it
+ * for changes. Because the heartbeats of a watch do not prove that it still delivers changes, the
+ * router also polls the complete list again at intervals that derive from the drain grace.
  *
- * <p>Each rule has its place: when to poll, {@link PollSchedule}; when to open a watch, {@link
- * #isWatchNeeded}; which list is applied, {@link ListDecision} and {@link ListAcceptancePolicy}.
+ * <p>{@link PollSchedule} defines when to poll, {@link #isWatchNeeded} when to open a watch, and
+ * {@link ListAcceptancePolicy} which lists to apply.
  *
- * <p>No I/O. Times are nanoseconds of the caller's clock and must not go back. Not thread-safe: all
- * calls come from the event loop that runs the {@link Transport}.
+ * <p>Does no I/O. Times are nanoseconds of the caller's clock and must not decrease. Not
+ * thread-safe: all calls come from the event loop that runs the {@link Transport}.
  */
 public final class EndpointRefreshPolicy {
-  /** Opens and closes the requests, which are told apart by their numbers, and keeps the timer. */
+  /** Opens and closes requests, which are identified by number, and runs the policy's timer. */
   public interface Transport {
     /**
      * Opens a request.
      *
-     * @param watch whether to watch the changes after {@code sinceVersion}, else the complete list
-     *     is polled
+     * @param watch whether to watch the changes after {@code sinceVersion} rather than to poll the
+     *     complete list
+     * @param sinceVersion ignored for a poll
      */
     void open(int requestNumber, boolean watch, long sinceVersion);
 
     /**
-     * Closes a request that is of no more use.
+     * Closes a request.
      *
-     * @param timedOut whether that is because the agent did not respond in time
+     * @param timedOut whether it is closed because the agent did not respond in time
      */
     void close(int requestNumber, boolean timedOut);
 
-    /** Calls {@link #timerFired} at this time, and at no time that was set before. */
+    /** Schedules a call of {@link #timerFired}, in place of the one scheduled before. */
     void scheduleWakeup(long at);
   }
 
   private final Transport transport;
   private final PollSchedule schedule;
-  private final ListAcceptancePolicy acceptance;
+  private final ListAcceptancePolicy acceptancePolicy;
   private final OpenRequests requests;
   private boolean stopped = true;
 
   /**
    * Creates a policy that does nothing until {@link #start}.
    *
-   * @param drainGraceNanos time after which a leaving endpoint may get nothing new
-   * @param lastKnownVersion version of the list held from an earlier process, 0 for none
+   * @param drainGraceNanos how long a draining or removed endpoint may still receive new requests
+   * @param lastKnownVersion version of the list that an earlier process saved, 0 if there is none
    */
   public EndpointRefreshPolicy(
       long drainGraceNanos, long lastKnownVersion, RandomGenerator random, Transport transport) {
     this.transport = transport;
-    acceptance = new ListAcceptancePolicy(lastKnownVersion);
+    acceptancePolicy = new ListAcceptancePolicy(lastKnownVersion);
     schedule = new PollSchedule(drainGraceNanos, random);
     requests = new OpenRequests(transport);
   }
 
-  /** The version that a poll made now need not decode again; empty if any list is wanted. */
+  /**
+   * Returns the version whose list a poll opened now need not decode again if its checksum equals
+   * {@link #cachedChecksum}; empty if the poll has to decode any list.
+   */
   public OptionalLong cachedVersion() {
-    return acceptance.cachedVersion();
+    return acceptancePolicy.cachedVersion();
   }
 
-  /** The checksum of the complete list that was applied last. */
+  /** Returns the checksum of the complete list that was applied last, 0 if there is none. */
   public long cachedChecksum() {
-    return acceptance.cachedChecksum();
+    return acceptancePolicy.cachedChecksum();
   }
 
   /** Polls the agent at once. */
@@ -78,11 +82,11 @@
   }
 
   /**
-   * The agent is at another address. It is polled at once; the watch at the old address counts
-   * until the new agent has sent its list.
+   * Polls the agent at its new address at once. The watch at the old address remains in use until
+   * the new agent has sent its list.
    */
   public void addressChanged(long now) {
-    acceptance.agentChanged();
+    acceptancePolicy.agentChanged();
     requests.agentChanged();
     schedule.pollImmediately(now);
     scheduleWakeup();
@@ -95,10 +99,11 @@
   }
 
   /**
-   * Data has arrived, which puts off the deadline of a poll and shows that a watch is alive. It
-   * does not show that the watch delivers all changes, so the next poll stays as scheduled.
+   * Records that data has arrived, which extends the deadline of a poll and shows that a watch is
+   * alive. The next poll stays scheduled, because data does not prove that a watch delivers all
+   * changes.
    *
-   * @param betweenLists whether it ended with no list begun; that of a watch counts only then
+   * @param betweenLists whether the data ended between lists; data on a watch counts only then
    */
   public void dataReceived(long now, int requestNumber, boolean betweenLists) {
     OpenRequest request = requests.find(requestNumber);
@@ -107,14 +112,14 @@
     }
   }
 
-  /** Decides on a list that has arrived, and polls or watches anew if that is needed after it. */
+  /** Decides whether to apply a list, and schedules a poll or opens a watch if necessary. */
   public ListDecision listReceived(long now, int requestNumber, EndpointList list) {
     OpenRequest request = requests.find(requestNumber);
     if (request == null) {
       return ListDecision.IGNORED_REQUEST_CLOSED;
     }
-    boolean changed = acceptance.isChange(list.version());
-    ListDecision decision = acceptance.decide(list, !request.isToFormerAgent());
+    boolean versionChanged = acceptancePolicy.isDifferentVersion(list.version());
+    ListDecision decision = acceptancePolicy.decide(list, !request.isToPreviousAgent());
     if (decision == ListDecision.IGNORED_OLDER_VERSION) {
       pollUrgently(now);
       return decision;
@@ -123,26 +128,28 @@
       schedule.pollWithinInterval(now);
       scheduleWakeup();
     }
-    if (isWatchNeeded(now, request, changed)) {
+    if (isWatchNeeded(now, request, versionChanged)) {
       requests.replaceWatch(now, list.version().orElse(0));
     }
     return decision;
   }
 
   /**
-   * Whether to open a watch, in place of the one there may be: after a poll of the current agent
-   * whose list was not ignored, if
+   * Returns whether to open a watch, which replaces the current one if there is one. This is
+   * necessary after a poll whose list was not ignored if
    *
    * <ul>
-   *   <li>the list brought a version that the watch has not delivered (or it is the first), or
-   *   <li>there is no watch, or its heartbeat is overdue.
+   *   <li>the list has a version that the watch has not delivered, or is the agent's first list, or
+   *   <li>there is no watch, or it has stalled.
    * </ul>
    */
-  private boolean isWatchNeeded(long now, OpenRequest request, boolean changed) {
-    return request == requests.poll() && (changed || !requests.isWatchAlive(now));
+  private boolean isWatchNeeded(long now, OpenRequest request, boolean versionChanged) {
+    return request == requests.poll() && (versionChanged || !requests.isWatchAlive(now));
   }
 
-  /** The agent has ended a response; that of a watch should stay open, so its end is a failure. */
+  /**
+   * Handles the end of a response. The end of a watch is a failure, because it should stay open.
+   */
   public void responseCompleted(long now, int requestNumber) {
     OpenRequest request = requests.find(requestNumber);
     if (request != null && request == requests.poll()) {
@@ -155,21 +162,22 @@
   }
 
   /**
-   * A request could not be made, broke off or brought what cannot be read. The current agent is
-   * polled at once.
+   * Handles a request that could not be sent, was interrupted or returned an unreadable list.
+   * Unless it went to the previous agent, polls the current agent urgently (see {@link
+   * PollSchedule}).
    */
   public void requestFailed(long now, int requestNumber) {
     OpenRequest request = requests.find(requestNumber);
     if (request != null) {
       requests.close(request, false);
-      acceptance.requestFailed();
-      if (!request.isToFormerAgent()) {
+      acceptancePolicy.requestFailed();
+      if (!request.isToPreviousAgent()) {
         pollUrgently(now);
       }
     }
   }
 
-  /** The time given to {@link Transport#scheduleWakeup} has come. */
+  /** Must be called at the time passed to {@link Transport#scheduleWakeup}. */
   public void timerFired(long now) {
     if (stopped) {
       return;
--- a/router/src/main/java/rushwood/discovery/EntryBuffer.java
+++ b/router/src/main/java/rushwood/discovery/EntryBuffer.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * The bytes of a list's entries, one after the other in one array, the last of them still open.
- * White space is left out by the writer.
+ * Stores the JSON of a list's entries in a single byte array, followed by the pending bytes: those
+ * written since the last entry ended.
  */
 final class EntryBuffer {
   private static final int INITIAL_BYTES = 4 << 10;
@@ -16,7 +16,7 @@
   private int[] entryEnds = new int[INITIAL_ENTRIES];
   private int entryCount;
 
-  /** Lets the open entry be cut back and read in place, without a copy of the whole array. */
+  /** Allows reading and truncating the array in place, without copying the whole of it. */
   private static final class Bytes extends ByteArrayOutputStream {
     Bytes() {
       super(INITIAL_BYTES);
@@ -35,7 +35,7 @@
     bytes.write(next);
   }
 
-  /** Closes the open entry; what is written next opens another. */
+  /** Makes the pending bytes an entry. */
   void endEntry() {
     if (entryCount == entryEnds.length) {
       entryEnds = Arrays.copyOf(entryEnds, 2 * entryCount);
@@ -43,7 +43,6 @@
     entryEnds[entryCount++] = bytes.size();
   }
 
-  /** Complete entries. */
   int entryCount() {
     return entryCount;
   }
@@ -53,24 +52,24 @@
     return bytes.text(start, entryEnds[index]);
   }
 
+  /** Returns the size of all entries and the pending bytes. */
   int totalBytes() {
     return bytes.size();
   }
 
-  int openEntryBytes() {
-    return bytes.size() - openEntryStart();
+  int pendingBytes() {
+    return bytes.size() - pendingStart();
   }
 
-  /** What has been written since the last entry ended. */
-  String openEntry() {
-    return bytes.text(openEntryStart(), bytes.size());
+  String pendingText() {
+    return bytes.text(pendingStart(), bytes.size());
   }
 
-  void discardOpenEntry() {
-    bytes.truncate(openEntryStart());
+  void discardPending() {
+    bytes.truncate(pendingStart());
   }
 
-  private int openEntryStart() {
+  private int pendingStart() {
     return entryCount == 0 ? 0 : entryEnds[entryCount - 1];
   }
 }
--- a/router/src/main/java/rushwood/discovery/InvalidFieldException.java
+++ b/router/src/main/java/rushwood/discovery/InvalidFieldException.java
@@ -1,8 +1,8 @@
 package rushwood.discovery;
 
 /**
- * A field of the endpoint list that is missing or has a value outside its bounds. The message names
- * the field as it is on the wire, and the reason.
+ * Thrown if a field of the endpoint list is missing or has an invalid value. The message consists
+ * of the field's name on the wire and the reason.
  */
 final class InvalidFieldException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
@@ -15,19 +15,20 @@
     this.reason = reason;
   }
 
-  /** For a field that is absent, of the wrong type or without a usable value. */
+  /** Creates an exception for a field that is absent, of the wrong type or has an invalid value. */
   static InvalidFieldException missingOrUnreadable(String field) {
     return new InvalidFieldException(field, "is missing or cannot be read");
   }
 
-  /** The field, a space and the reason. */
+  /** Returns the field and the reason, separated by a space. */
   @Override
   public String getMessage() {
     return field + " " + reason;
   }
 
   /**
-   * Records no stack: a list may have thousands of invalid entries, and only the reason is used.
+   * Records no stack trace, because a list may have thousands of invalid entries and only the
+   * message is used.
    */
   @Override
   public synchronized Throwable fillInStackTrace() {
--- a/router/src/main/java/rushwood/discovery/JsonFields.java
+++ b/router/src/main/java/rushwood/discovery/JsonFields.java
@@ -7,7 +7,8 @@
 
 /**
  * Typed access to the fields of a JSON object. Numbers and flags may also be written as strings.
- * Every method but {@link #parseObject} throws {@link InvalidFieldException} with the field's name.
+ * The methods that read a field throw {@link InvalidFieldException} with the field's name if it is
+ * missing or invalid.
  */
 final class JsonFields {
   private JsonFields() {}
@@ -15,17 +16,17 @@
   /**
    * Parses one JSON object.
    *
-   * @throws MalformedListException if {@code json} is not one
+   * @throws MalformedListException if {@code json} is not a JSON object
    */
   static JsonObject parseObject(String json) throws MalformedListException {
     try {
       return JsonParser.parseString(json).getAsJsonObject();
-    } catch (JsonParseException | IllegalStateException e) { // no JSON, or JSON but no object
-      throw new MalformedListException("no JSON object: " + e.getMessage());
+    } catch (JsonParseException | IllegalStateException e) { // invalid JSON, or not an object
+      throw new MalformedListException("not a JSON object: " + e.getMessage());
     }
   }
 
-  /** A primitive that is present, not null and not the empty string. */
+  /** Returns a string, number or flag as text; null and the empty string are invalid. */
   static String requiredText(JsonObject object, String field) {
     JsonElement value = object.get(field);
     if (value == null || !value.isJsonPrimitive() || value.getAsString().isEmpty()) {
@@ -34,7 +35,7 @@
     return value.getAsString();
   }
 
-  /** A number, in any notation that {@link Double#parseDouble} takes. */
+  /** Returns a number in any notation that {@link Double#parseDouble} accepts. */
   static double requiredNumber(JsonObject object, String field) {
     try {
       return Double.parseDouble(requiredText(object, field));
@@ -43,13 +44,13 @@
     }
   }
 
-  /** {@code defaultValue} stands for an absent field and for null. */
+  /** Returns a number, or {@code defaultValue} if the field is absent or null. */
   static double optionalNumber(JsonObject object, String field, double defaultValue) {
     boolean absent = !object.has(field) || object.get(field).isJsonNull();
     return absent ? defaultValue : requiredNumber(object, field);
   }
 
-  /** {@code true} or {@code false}. */
+  /** Returns a flag, which must be {@code true} or {@code false}. */
   static boolean requiredFlag(JsonObject object, String field) {
     return switch (requiredText(object, field)) {
       case "true" -> true;
--- a/router/src/main/java/rushwood/discovery/ListAcceptancePolicy.java
+++ b/router/src/main/java/rushwood/discovery/ListAcceptancePolicy.java
@@ -3,71 +3,83 @@
 import java.util.OptionalLong;
 
 /**
- * Decides by its version whether a list from discovery is applied, and knows which list is in
- * force.
+ * Decides by version whether a list from discovery is applied, and tracks the version of the
+ * current list, which is the list that results from those applied so far.
  *
- * <p>An agent's versions rise. A list whose version goes back may be an old one that was delayed,
- * or come from an agent that has lost its state, so it is applied only if the agent keeps sending
- * such lists. Versions of different agents do not compare.
+ * <p>An agent's versions increase. A list with an older version may have been delayed, or the agent
+ * may have lost its state, so such a list is applied only if the agent keeps sending older lists.
+ * Versions of different agents are not comparable.
  *
  * <p>Not thread-safe; used on the event loop only.
  */
 final class ListAcceptancePolicy {
-  /** After so many complete lists of an older version in a row, the older version is applied. */
-  private static final int OLDER_LISTS_UNTIL_APPLIED = 3;
+  /** Number of complete lists in a row with an older version, of which the last is applied. */
+  private static final int ROLLBACK_THRESHOLD_LISTS = 3;
 
   private long appliedVersion;
   private long appliedChecksum;
+
+  /** Whether the agent's address has ever changed. */
   private boolean agentChanged;
-  private boolean currentAgentListed;
+
+  /** Whether the current agent has sent a complete list that was not ignored. */
+  private boolean completeListReceived;
+
   private int consecutiveOlderLists;
-  private boolean isListUncertain; // the last list was not applied, or not readable, in full
+
+  /**
+   * Whether the next complete list has to be decoded in any case, because the last list was ignored
+   * or could not be read in full, or the last request failed.
+   */
+  private boolean isCacheInvalid;
 
   /**
    * Creates a policy.
    *
-   * @param lastKnownVersion version of the list held from an earlier process, 0 for none; the lists
-   *     of the first agent compare with it
+   * @param lastKnownVersion version of the list that an earlier process saved, 0 if there is none;
+   *     versions of the first agent's lists are compared with it
    */
   ListAcceptancePolicy(long lastKnownVersion) {
     appliedVersion = lastKnownVersion;
   }
 
-  /** From now on another agent is asked, of which no list has come yet. */
+  /** Records that requests go to another agent from now on. */
   void agentChanged() {
     agentChanged = true;
-    currentAgentListed = false;
+    completeListReceived = false;
   }
 
-  /** A request has ended without the list that it was made for. */
+  /** Records that a request failed, so that the next complete list is decoded in any case. */
   void requestFailed() {
-    isListUncertain = true;
+    isCacheInvalid = true;
   }
 
   /**
-   * Decides on a list. It is ignored if its version is older than that of the list in force, unless
-   * it is a complete list and either
+   * Decides whether to apply a list. A list with a version older than the current one is ignored,
+   * unless it is a complete list and either
    *
    * <ul>
-   *   <li>the first of the current agent after a change of the agent's address, or
-   *   <li>the third in a row (of complete lists) whose version is older.
+   *   <li>the first one from the current agent after the agent's address changed, or
+   *   <li>the third complete list in a row with an older version.
    * </ul>
    *
    * <p>A list without a readable version is applied.
    *
-   * @param fromCurrentAgent whether the current agent has sent it, not the one before
-   * @return what becomes of the list; if it is applied, it is the list in force from now on
+   * @param fromCurrentAgent whether the list comes from the current agent rather than the previous
+   *     one
+   * @return the decision; unless it is {@link ListDecision#IGNORED_OLDER_VERSION}, a readable
+   *     version of the list becomes the current version
    */
   ListDecision decide(EndpointList list, boolean fromCurrentAgent) {
     if (isTooOld(list, fromCurrentAgent)) {
-      isListUncertain = true;
+      isCacheInvalid = true;
       return ListDecision.IGNORED_OLDER_VERSION;
     }
-    isListUncertain = !list.isWellFormed();
+    isCacheInvalid = !list.isWellFormed();
     appliedVersion = list.version().orElse(appliedVersion);
     if (list.complete()) {
       consecutiveOlderLists = 0;
-      currentAgentListed |= fromCurrentAgent;
+      completeListReceived |= fromCurrentAgent;
     }
     if (list.unchanged()) {
       return ListDecision.UNCHANGED;
@@ -78,11 +90,11 @@
     return ListDecision.APPLIED;
   }
 
-  /** Counts the complete lists that are older, in a row. */
+  /** Returns whether to ignore the list as older, and counts complete older lists in a row. */
   private boolean isTooOld(EndpointList list, boolean fromCurrentAgent) {
     boolean isOlder = list.version().isPresent() && list.version().getAsLong() < appliedVersion;
     boolean isFirstOfNewAgent =
-        list.complete() && fromCurrentAgent && agentChanged && !currentAgentListed;
+        list.complete() && fromCurrentAgent && agentChanged && !completeListReceived;
     if (!isOlder || isFirstOfNewAgent) {
       return false;
     }
@@ -90,27 +102,31 @@
       return true;
     }
     consecutiveOlderLists++;
-    return consecutiveOlderLists < OLDER_LISTS_UNTIL_APPLIED;
+    return consecutiveOlderLists < ROLLBACK_THRESHOLD_LISTS;
   }
 
-  /** The version in force, empty if no complete list of the current agent has come. */
+  /** Returns the current version; empty until the current agent has sent a complete list. */
   OptionalLong currentAgentVersion() {
-    return currentAgentListed ? OptionalLong.of(appliedVersion) : OptionalLong.empty();
+    return completeListReceived ? OptionalLong.of(appliedVersion) : OptionalLong.empty();
   }
 
-  /** Whether a list of the current agent brings another version than the one in force. */
-  boolean isChange(OptionalLong listVersion) {
+  /**
+   * Returns whether the version of a list differs from the current version. This is also the case
+   * if either of them is empty.
+   */
+  boolean isDifferentVersion(OptionalLong listVersion) {
     return listVersion.isEmpty() || !listVersion.equals(currentAgentVersion());
   }
 
-  /** The version of a list that need not be decoded again; empty if any list is wanted. */
+  /**
+   * Returns the version whose complete list need not be decoded again if its checksum equals {@link
+   * #cachedChecksum}; empty if the next complete list has to be decoded in any case.
+   */
   OptionalLong cachedVersion() {
-    return isListUncertain ? OptionalLong.empty() : currentAgentVersion();
+    return isCacheInvalid ? OptionalLong.empty() : currentAgentVersion();
   }
 
-  /**
-   * The checksum of the complete list that was applied last; of use with {@link #cachedVersion}.
-   */
+  /** Returns the checksum of the complete list that was applied last, 0 if there is none. */
   long cachedChecksum() {
     return appliedChecksum;
   }
--- a/router/src/main/java/rushwood/discovery/ListDecision.java
+++ b/router/src/main/java/rushwood/discovery/ListDecision.java
@@ -1,27 +1,30 @@
 package rushwood.discovery;
 
 /**
- * What becomes of a list from discovery: the first of these cases that holds, in this order.
+ * Result of the decision whether to apply a list from discovery. The first constant whose condition
+ * holds applies.
  *
- * <p>A list that is ignored still counts in one respect: its draining and removed endpoints get
- * nothing new, since to send to a leaving host is the greater harm. The same holds for a list that
- * cannot be read to its end: it is never decided on, its request fails with an {@link
- * UnreadableListException}, and the list is polled again at once.
+ * <p>The draining and removed endpoints of an ignored list still receive nothing new, because
+ * sending to a leaving host does more harm than not sending to a ready one. The same holds for a
+ * list that cannot be read to its end. No decision is made on such a list: its request fails with
+ * an {@link UnreadableListException}, and the complete list is polled again urgently (see {@link
+ * PollSchedule}).
  */
 public enum ListDecision {
-  /** Ignored: the request that brought it has been closed, as it timed out or was replaced. */
+  /** Ignored because its request is closed already. */
   IGNORED_REQUEST_CLOSED,
   /**
-   * Ignored: its version is older than that of the list in force, see {@link
-   * ListAcceptancePolicy#decide}. The list is polled again at once.
+   * Ignored because its version is older than that of the current list, see {@link
+   * ListAcceptancePolicy#decide}. The complete list is polled again urgently (see {@link
+   * PollSchedule}).
    */
   IGNORED_OLDER_VERSION,
-  /** Nothing to apply: it has the version and the checksum of the list in force. */
+  /** Not applied because it equals the current list in version and checksum. */
   UNCHANGED,
   /**
-   * Applied. A complete list replaces the list in force, any other updates it, and so does one
-   * without an array of entries. An entry that cannot be read leaves its endpoint as it was, but
-   * for the state if that can be read; the list is then polled again within a poll interval.
+   * Applied. A complete list replaces the current list. Any other list, or a list without an array
+   * of entries, updates it. An invalid entry changes only the state of its endpoint, if the state
+   * can be read; the complete list is then polled again within a poll interval.
    */
   APPLIED
 }
--- a/router/src/main/java/rushwood/discovery/ListRequest.java
+++ b/router/src/main/java/rushwood/discovery/ListRequest.java
@@ -8,11 +8,11 @@
 import rushwood.dispatch.PartialEndpoint;
 
 /**
- * One poll or watch: parses the response, has the {@link EndpointRefreshPolicy} decide on each list
- * and passes what is to be applied to the listener. Used on the event loop only.
+ * A poll or watch. Parses the response, asks the {@link EndpointRefreshPolicy} for a decision on
+ * each list, and passes the lists to apply to the listener. Used on the event loop only.
  */
 final class ListRequest implements DiscoveryConnector.ResponseHandler {
-  private final int number;
+  private final int requestNumber;
   private final boolean isWatch;
   private final EndpointListParser parser;
   private final EventLoopClock clock;
@@ -24,17 +24,17 @@
   /**
    * Creates a request that does nothing until {@link #connect}.
    *
-   * @param number by which the policy tells requests apart
-   * @param parser of the lists that such a request brings
+   * @param requestNumber identifies the request to the policy
+   * @param parser parses the lists in the response
    */
   ListRequest(
-      int number,
+      int requestNumber,
       boolean isWatch,
       EndpointListParser parser,
       EventLoopClock clock,
       EndpointRefreshPolicy refreshPolicy,
       DiscoveryClient.Listener listener) {
-    this.number = number;
+    this.requestNumber = requestNumber;
     this.isWatch = isWatch;
     this.parser = parser;
     this.clock = clock;
@@ -42,12 +42,12 @@
     this.listener = listener;
   }
 
-  /** Sends the request. The policy closes one that takes too long. */
+  /** Sends the request without a timeout; the policy closes a poll that takes too long. */
   void connect(DiscoveryConnector connector, InetSocketAddress address, String path) {
     connection = connector.get(address, path, this);
   }
 
-  /** Closes the request. The leaving endpoints of a list that has not ended still count. */
+  /** Closes the request, and reports the leaving endpoints of a list that has not ended. */
   void close() {
     closed = true;
     if (connection != null) {
@@ -73,14 +73,14 @@
       return;
     }
     if (!closed) {
-      refreshPolicy.dataReceived(clock.now(), number, parser.isBetweenLists());
+      refreshPolicy.dataReceived(clock.now(), requestNumber, parser.isBetweenLists());
     }
     if (last && !closed) {
       responseEnded();
     }
   }
 
-  /** Stops as soon as a list has made the policy close this request. */
+  /** Parses and handles the lists in {@code content} until one of them closes this request. */
   private void parse(ByteBuf content, boolean last) throws UnreadableListException {
     EndpointList list = parser.next(content);
     while (list != null && !closed) {
@@ -94,7 +94,7 @@
 
   private void listReceived(EndpointList list) {
     list.problems().forEach(listener::problemFound);
-    switch (refreshPolicy.listReceived(clock.now(), number, list)) {
+    switch (refreshPolicy.listReceived(clock.now(), requestNumber, list)) {
       case IGNORED_REQUEST_CLOSED, IGNORED_OLDER_VERSION -> reportLeaving(list.leavingEndpoints());
       case UNCHANGED -> listener.listUnchanged();
       case APPLIED -> listener.listReceived(list);
@@ -111,7 +111,7 @@
     if (isWatch) {
       requestFailed("ended the watch");
     } else {
-      refreshPolicy.responseCompleted(clock.now(), number);
+      refreshPolicy.responseCompleted(clock.now(), requestNumber);
     }
   }
 
@@ -119,7 +119,7 @@
   public void requestFailed(String reason) {
     if (!closed) {
       listener.requestFailed(reason);
-      refreshPolicy.requestFailed(clock.now(), number);
+      refreshPolicy.requestFailed(clock.now(), requestNumber);
     }
   }
 }
--- a/router/src/main/java/rushwood/discovery/MalformedListException.java
+++ b/router/src/main/java/rushwood/discovery/MalformedListException.java
@@ -1,6 +1,6 @@
 package rushwood.discovery;
 
-/** What is read is no list or no entry: invalid JSON, or beyond a bound. */
+/** Thrown if the input is not a list or an entry: it is invalid JSON or exceeds a size limit. */
 final class MalformedListException extends Exception {
   private static final long serialVersionUID = 1L;
   private final String reason;
@@ -16,7 +16,8 @@
   }
 
   /**
-   * Records no stack: a list may have thousands of invalid entries, and only the reason is used.
+   * Records no stack trace, because a list may have thousands of invalid entries and only the
+   * message is used.
    */
   @Override
   public synchronized Throwable fillInStackTrace() {
--- a/router/src/main/java/rushwood/discovery/OpenRequests.java
+++ b/router/src/main/java/rushwood/discovery/OpenRequests.java
@@ -5,28 +5,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The requests to the agent that are open: a poll, a watch and, while a watch is replaced, its
- * successor. Opens and closes them through the {@link EndpointRefreshPolicy.Transport}.
+ * The open requests to the agent: a poll, a watch and, while the watch is replaced, its successor.
+ * Opens and closes them through the {@link EndpointRefreshPolicy.Transport}.
  *
  * <p>Not thread-safe; used on the event loop only.
  */
 final class OpenRequests {
   /**
-   * A watch without data for so long has stalled: its heartbeat is late by half an interval. It is
-   * replaced when the next poll has brought the list.
+   * A watch without data for this long has stalled: its heartbeat is late by half an interval. The
+   * watch is replaced once the next poll has returned the list.
    */
-  private static final long HEARTBEAT_OVERDUE_NANOS =
+  private static final long WATCH_STALL_TIMEOUT_NANOS =
       DiscoveryProtocol.HEARTBEAT_NANOS + DiscoveryProtocol.HEARTBEAT_NANOS / 2;
 
   private static final int MAX_OPEN_REQUESTS = 3;
 
-  /** One request; times are nanoseconds of the caller's clock. */
+  /** A request. Times are nanoseconds of the caller's clock. */
   static final class OpenRequest {
     private final int number;
     private final boolean isWatch;
     private final long openedAt;
     private long lastDataAt;
-    private boolean isToFormerAgent;
+    private boolean isToPreviousAgent;
 
     private OpenRequest(int number, boolean isWatch, long now) {
       this.number = number;
@@ -39,19 +39,22 @@
       return openedAt;
     }
 
-    /** When data came last that puts off the end of this request; at first, when it was opened. */
+    /**
+     * Returns when data arrived last that shows the request to make progress; initially the time at
+     * which it was opened.
+     */
     long lastDataAt() {
       return lastDataAt;
     }
 
-    /** Whether it was opened before the agent's address changed. */
-    boolean isToFormerAgent() {
-      return isToFormerAgent;
+    /** Returns whether the request was opened before the agent's address changed. */
+    boolean isToPreviousAgent() {
+      return isToPreviousAgent;
     }
 
     /**
-     * Data has arrived. That of a watch counts only if it ended {@code betweenLists}, as a list
-     * that never ends is of no use.
+     * Records that data has arrived. Data on a watch counts only if it ended between lists, because
+     * a list that never ends is useless.
      */
     void dataReceived(long now, boolean betweenLists) {
       if (betweenLists || !isWatch) {
@@ -62,7 +65,7 @@
 
   private final EndpointRefreshPolicy.Transport transport;
   private final List<OpenRequest> requests = new ArrayList<>(MAX_OPEN_REQUESTS);
-  private @Nullable OpenRequest poll; // never one to a former agent
+  private @Nullable OpenRequest poll; // never to a previous agent
   private @Nullable OpenRequest watch;
   private int nextNumber;
 
@@ -70,12 +73,12 @@
     this.transport = transport;
   }
 
-  /** The poll that is open, null if there is none. */
+  /** Returns the open poll, or null if there is none. */
   @Nullable OpenRequest poll() {
     return poll;
   }
 
-  /** The request of that number, null if it has been closed; events of such a one are ignored. */
+  /** Returns the request with this number, or null if it is closed. */
   @Nullable OpenRequest find(int number) {
     for (OpenRequest request : requests) {
       if (request.number == number) {
@@ -85,19 +88,19 @@
     return null;
   }
 
-  /** Whether there is a watch whose heartbeat is not overdue. */
+  /** Returns whether there is a watch that has not stalled. */
   boolean isWatchAlive(long now) {
-    return watch != null && now - watch.lastDataAt <= HEARTBEAT_OVERDUE_NANOS;
+    return watch != null && now - watch.lastDataAt <= WATCH_STALL_TIMEOUT_NANOS;
   }
 
-  /** Opens a poll; there must be none. */
+  /** Opens a poll; none may be open. */
   void openPoll(long now) {
     poll = open(now, false, 0);
   }
 
   /**
-   * Opens a watch of the changes after {@code sinceVersion}, and only then closes the one before,
-   * if there is one: no change falls between them.
+   * Opens a watch of the changes after {@code sinceVersion}, and then closes the previous one, if
+   * any. Opening the new watch first ensures that no change is missed in between.
    */
   void replaceWatch(long now, long sinceVersion) {
     OpenRequest previous = watch;
@@ -114,7 +117,11 @@
     return request;
   }
 
-  /** Closes a request; {@code timedOut} if that is because the agent did not respond in time. */
+  /**
+   * Closes a request.
+   *
+   * @param timedOut whether it is closed because the agent did not respond in time
+   */
   void close(OpenRequest request, boolean timedOut) {
     requests.remove(request);
     if (request == poll) {
@@ -130,11 +137,11 @@
     List.copyOf(requests).forEach(request -> close(request, false));
   }
 
-  /** Closes the poll. A watch stays open; it is one to a former agent from now on. */
+  /** Closes the poll, and marks the watch as one of the previous agent, without closing it. */
   void agentChanged() {
     if (poll != null) {
       close(poll, false);
     }
-    requests.forEach(request -> request.isToFormerAgent = true);
+    requests.forEach(request -> request.isToPreviousAgent = true);
   }
 }
--- a/router/src/main/java/rushwood/discovery/PollSchedule.java
+++ b/router/src/main/java/rushwood/discovery/PollSchedule.java
@@ -3,41 +3,45 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When the complete list is polled. With G, how old the router's list may get (the drain grace, 4 s
- * at most):
+ * Schedules the polls for the complete list. All delays derive from G, the maximum staleness of the
+ * router's list, which is the drain grace but at most 4 s:
  *
  * <ul>
- *   <li>after a complete response: {@link #pollCompleted}, in 3/8 G to G/2;
- *   <li>after a list that could not be read in full: {@link #pollWithinInterval}, likewise;
- *   <li>after a failure or a list that was ignored, and at the start: {@link #pollUrgently}, at
- *       once, but G/8 to G/4 after the start of the last poll at the earliest;
- *   <li>after a poll that did not respond, and at a new address: {@link #pollImmediately}, at once;
- *   <li>a poll is closed that has sent nothing for G/4, or has taken four times that in all: {@link
- *       #deadline}.
+ *   <li>After a complete response, the next poll follows in 3/8 G to G/2 ({@link #pollCompleted}).
+ *   <li>After a list with invalid parts, it follows in the same time ({@link #pollWithinInterval}).
+ *   <li>After a failure or an ignored list, and at the start, it follows at once, but not earlier
+ *       than G/8 to G/4 after the start of the last poll ({@link #pollUrgently}).
+ *   <li>After a timeout or a change of the agent's address, it follows at once ({@link
+ *       #pollImmediately}).
+ *   <li>A poll is closed if it has received nothing for G/4 or is not complete after G; a longer
+ *       limit applies after a timeout in mid-response ({@link #deadline}, {@link #pollTimedOut}).
  * </ul>
  *
- * <p>No wait grows while the agent is down: it serves this router alone, so that there is no shared
- * server to protect, and a longer wait would break the bound on the list's age. All times are
+ * <p>Delays do not back off while the agent is down: the agent serves only this router, so there is
+ * no shared server to protect, and longer delays would exceed the maximum staleness. All times are
  * nanoseconds of the caller's clock.
  */
 final class PollSchedule {
-  /** The time of a poll that is not scheduled; later than any other. */
+  /** Time of a poll that is not scheduled; later than any other time. */
   static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** Shortest interval at any drain grace: 40 polls a second are no load for an agent nearby. */
+  /**
+   * Minimum of the poll interval and the response timeout at any drain grace. 40 polls a second are
+   * a negligible load for an agent nearby.
+   */
   private static final long MIN_INTERVAL_NANOS = 25 * NANOS_PER_MILLI;
 
   /**
-   * Longest time that the list may be out of date. The platform holds the router to a change 6 s
-   * after the agent has it; a poll interval and two response timeouts together take this long,
-   * which leaves two seconds.
+   * Upper limit of the maximum staleness. The platform expects the router to comply with a change 6
+   * s after the agent has it. A poll interval and two response timeouts add up to this value, which
+   * leaves 2 s.
    */
   private static final long MAX_STALENESS_NANOS = 4000 * NANOS_PER_MILLI;
 
-  /** How many response timeouts a poll may take in all as long as data keeps coming. */
-  private static final int TIMEOUTS_PER_RESPONSE = 4;
+  /** Limit of the whole poll, in response timeouts, while data keeps arriving. */
+  private static final int MAX_RESPONSE_TIMEOUTS_PER_POLL = 4;
 
   private final RandomGenerator random;
   private final long pollIntervalNanos;
@@ -48,76 +52,77 @@
   private long earliestPollAt = Long.MIN_VALUE; // no limit before the first poll
 
   /**
-   * Derives the intervals from the drain grace.
+   * Creates a schedule without polls.
    *
-   * @param drainGraceNanos time after which a leaving endpoint may get nothing new
+   * @param drainGraceNanos how long a draining or removed endpoint may still receive new requests
+   * @param random source of the jitter
    */
   PollSchedule(long drainGraceNanos, RandomGenerator random) {
     this.random = random;
     long maxStalenessNanos = Math.min(drainGraceNanos, MAX_STALENESS_NANOS);
     pollIntervalNanos = Math.max(MIN_INTERVAL_NANOS, maxStalenessNanos / 2);
     responseTimeoutNanos = Math.max(MIN_INTERVAL_NANOS, maxStalenessNanos / 4);
-    maxPollDurationNanos = TIMEOUTS_PER_RESPONSE * responseTimeoutNanos;
+    maxPollDurationNanos = MAX_RESPONSE_TIMEOUTS_PER_POLL * responseTimeoutNanos;
   }
 
   /**
-   * Schedules a poll as soon as the last one is old enough, since the list is or may be out of
-   * date.
+   * Schedules a poll as early as the minimum time since the start of the last poll permits, because
+   * the list may be out of date.
    */
   void pollUrgently(long now) {
     urgentPollAt = Math.min(urgentPollAt, now);
   }
 
-  /** Schedules a poll for now, without the wait after the last one. */
+  /** Schedules a poll for now, without a minimum time since the last poll. */
   void pollImmediately(long now) {
     earliestPollAt = now;
     pollUrgently(now);
   }
 
-  /** Schedules a poll after an interval at the latest. */
+  /** Schedules a poll in a jittered interval at the latest. */
   void pollWithinInterval(long now) {
     urgentPollAt = Math.min(urgentPollAt, now + jitteredPollInterval());
   }
 
-  /** A poll was opened; none is scheduled until it ends. */
+  /** Records that a poll was opened, and clears the schedule. */
   void pollStarted(long now) {
     regularPollAt = NOT_SCHEDULED;
     urgentPollAt = NOT_SCHEDULED;
     earliestPollAt = now + responseTimeoutNanos / 2 + random.nextLong(responseTimeoutNanos / 2);
   }
 
-  /** The poll brought a whole response. */
+  /** Schedules the next poll after a complete response. */
   void pollCompleted(long now) {
-    maxPollDurationNanos = TIMEOUTS_PER_RESPONSE * responseTimeoutNanos;
+    maxPollDurationNanos = MAX_RESPONSE_TIMEOUTS_PER_POLL * responseTimeoutNanos;
     regularPollAt = now + jitteredPollInterval();
   }
 
   /**
-   * The poll was closed at its deadline. If a response had started, the next may take twice as
-   * long, up to the heartbeat interval: the list may simply be long.
+   * Schedules the next poll after one was closed at its deadline. If a response had started, the
+   * next poll may take twice as long, up to the heartbeat interval, because the list may be long.
    */
   void pollTimedOut(long now, boolean responseStarted) {
     if (responseStarted) {
       long limit = Math.max(maxPollDurationNanos, DiscoveryProtocol.HEARTBEAT_NANOS);
       maxPollDurationNanos = Math.min(2 * maxPollDurationNanos, limit);
     }
-    pollImmediately(now); // the timeout has been wait enough
+    pollImmediately(now); // the timeout is enough time since the last poll
   }
 
-  /** When a poll that was opened at {@code openedAt} and last sent data then is closed. */
+  /** Returns when to close a poll, given when it was opened and when it last received data. */
   long deadline(long openedAt, long lastDataAt) {
     return Math.min(lastDataAt + responseTimeoutNanos, openedAt + maxPollDurationNanos);
   }
 
-  /** When the next poll is due; {@link #NOT_SCHEDULED} if none is scheduled. */
+  /** Returns the time of the next poll, {@link #NOT_SCHEDULED} if there is none. */
   long nextPollAt() {
     long at = Math.min(regularPollAt, urgentPollAt);
     return at == NOT_SCHEDULED ? NOT_SCHEDULED : Math.max(at, earliestPollAt);
   }
 
   /**
-   * Returns the interval shortened by up to a quarter, so that routers that start together do not
-   * stay in step.
+   * Returns the poll interval shortened by up to a quarter, so that routers that start together do
+   * not keep polling at the same time.
    */
   private long jitteredPollInterval() {
     return pollIntervalNanos - random.nextLong(pollIntervalNanos / 4);
--- a/router/src/main/java/rushwood/discovery/UnreadableListException.java
+++ b/router/src/main/java/rushwood/discovery/UnreadableListException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import rushwood.dispatch.PartialEndpoint;
 
-/** What discovery sent is no endpoint list, is beyond a bound or ends too early. */
+/** Thrown if discovery's response is not an endpoint list, exceeds a size limit or is truncated. */
 public final class UnreadableListException extends Exception {
   private static final long serialVersionUID = 1L;
   private final transient List<PartialEndpoint> leavingEndpoints;
@@ -14,8 +14,8 @@
   }
 
   /**
-   * The draining and removed endpoints that were read before the fault. They still count: sending
-   * to a leaving host is the greater harm.
+   * Returns the draining and removed endpoints that were read before the error. They must be taken
+   * into account, because sending to a leaving host does more harm than not sending to a ready one.
    */
   public List<PartialEndpoint> leavingEndpoints() {
     return leavingEndpoints;
--- a/router/src/main/java/rushwood/discovery/package-info.java
+++ b/router/src/main/java/rushwood/discovery/package-info.java
@@ -1,14 +1,14 @@
 /**
- * Keeps the router's endpoint list current: when to poll the discovery agent or to watch its
- * changes, the HTTP client that does so, and the parser of the lists it sends.
+ * Keeps the router's endpoint list up to date by polling and watching the discovery agent.
  *
- * <p>What is decided, without I/O: when to poll, {@link rushwood.discovery.PollSchedule}; when to
- * watch, {@link rushwood.discovery.EndpointRefreshPolicy}; what becomes of a list, {@link
- * rushwood.discovery.ListDecision}. {@link rushwood.discovery.DiscoveryClient} makes the requests,
- * with the sockets of {@link rushwood.discovery.DiscoveryConnector}. Bytes go through {@code
- * EndpointListTokenizer} (where a list and its entries end), {@code EndpointEntryDecoder} (one
- * entry) and {@link rushwood.discovery.EndpointListParser} (the whole). All of it runs on the
- * router's event loop and needs no locks. Design and sources: {@code docs/design-discovery.md}.
+ * <p>Decisions are separate from I/O: {@link rushwood.discovery.PollSchedule} decides when to poll,
+ * {@link rushwood.discovery.EndpointRefreshPolicy} when to watch, and {@link
+ * rushwood.discovery.ListDecision} lists what can happen to a list. {@link
+ * rushwood.discovery.DiscoveryClient} makes the requests over the connections of {@link
+ * rushwood.discovery.DiscoveryConnector}. {@link rushwood.discovery.EndpointListParser} parses the
+ * responses: {@code EndpointListTokenizer} finds the boundaries of a list and its entries, and
+ * {@code EndpointEntryDecoder} decodes one entry. Everything runs on the router's event loop
+ * without locks. Design and sources: {@code docs/design-discovery.md}.
  */
 @NullMarked
 package rushwood.discovery;
--- a/router/src/test/java/rushwood/discovery/EndpointListParserTest.java
+++ b/router/src/test/java/rushwood/discovery/EndpointListParserTest.java
@@ -69,7 +69,7 @@
         List.of(TestMessages.buffer(text.getBytes(StandardCharsets.UTF_8))));
   }
 
-  private static void assertParsedHoweverSplit(String text) {
+  private static void assertParsedInAnyFragmentation(String text) {
     TestMessages.forEachFragmentation(
         text.getBytes(StandardCharsets.UTF_8),
         parts -> {
@@ -102,8 +102,8 @@
   }
 
   @Test
-  void compactListsSplitAnywhere() {
-    assertParsedHoweverSplit(
+  void compactListsInAnyFragmentation() {
+    assertParsedInAnyFragmentation(
         "\n"
             + list(41, true, "")
             + "\r\n\n"
@@ -111,37 +111,42 @@
             + "\n");
   }
 
-  /** White space does not matter: an indented list is the same list, of a poll or a watch. */
+  /** White space must not affect parsing. */
   @Test
-  void indentedListsSplitAnywhere() {
-    assertParsedHoweverSplit(
+  void indentedListsInAnyFragmentation() {
+    assertParsedInAnyFragmentation(
         "\n"
             + indented(list(41, true, ""))
             + "\r\n\n\n"
             + indented(list(43, false, DRAINING_ENTRY + "," + READY_ENTRY)));
-    assertParsedHoweverSplit(
+    assertParsedInAnyFragmentation(
         list(41, true, "").replace(":", " :\t")
             + indented(list(43, false, DRAINING_ENTRY + "," + READY_ENTRY))
                 .replace("\n", "\r\n\r\n"));
   }
 
-  /** An invalid entry, the problem that is reported and what can be read of it all the same. */
+  /**
+   * An invalid entry.
+   *
+   * @param problem the problem reported for it
+   * @param partial the host and state that can be read; empty if the host cannot be read
+   */
   private record InvalidEntry(String json, String problem, Optional<PartialEndpoint> partial) {}
 
   private static List<InvalidEntry> invalidEntries() {
     Optional<PartialEndpoint> draining = Optional.of(DRAINING_ENDPOINT);
-    Optional<PartialEndpoint> ofUnknownState =
+    Optional<PartialEndpoint> withoutState =
         Optional.of(new PartialEndpoint(new HostId("s-1"), null));
-    Optional<PartialEndpoint> nothing = Optional.empty();
+    Optional<PartialEndpoint> none = Optional.empty();
     return List.of(
         new InvalidEntry(
             DRAINING_ENTRY.replace("Terminating", "Sleeping"),
             "state has the unknown value Sleeping",
-            ofUnknownState),
+            withoutState),
         new InvalidEntry(
             DRAINING_ENTRY.replace("\"Terminating\"", "null"),
             "state is missing or cannot be read",
-            ofUnknownState),
+            withoutState),
         new InvalidEntry(
             DRAINING_ENTRY.replace("10.1.0.18:6432", "a.name:1"),
             "addr is missing or cannot be read",
@@ -157,23 +162,23 @@
             "cell is missing or cannot be read",
             draining),
         new InvalidEntry(
-            DRAINING_ENTRY.replace("\"s-1\"", "null"), "id is missing or cannot be read", nothing),
-        new InvalidEntry("7", "servers has an element that is no entry", nothing),
+            DRAINING_ENTRY.replace("\"s-1\"", "null"), "id is missing or cannot be read", none),
+        new InvalidEntry("7", "servers has an element that is not an entry", none),
         new InvalidEntry(
-            "[" + DRAINING_ENTRY + "]", "servers has an element that is no entry", nothing),
+            "[" + DRAINING_ENTRY + "]", "servers has an element that is not an entry", none),
         new InvalidEntry(
             DRAINING_ENTRY.replace("\"state\"", "\"state\"7"),
-            "servers has an element that is no entry",
-            nothing));
+            "servers has an element that is not an entry",
+            none));
   }
 
   /**
-   * An invalid entry does not affect the others, before or after it. Host and state that can be
-   * read of it count, and the problem names the field.
+   * An invalid entry affects no entry before or after it. The host and state that can be read of it
+   * are used, and the reported problem names the field.
    */
   @ParameterizedTest
   @MethodSource("invalidEntries")
-  void invalidEntryDoesNotSpoilOthers(InvalidEntry invalid) throws UnreadableListException {
+  void invalidEntryDoesNotAffectOthers(InvalidEntry invalid) throws UnreadableListException {
     for (String entries :
         List.of(READY_ENTRY + "," + invalid.json(), invalid.json() + "," + READY_ENTRY)) {
       EndpointList list = parse(list(1, true, entries)).get(0);
@@ -187,7 +192,7 @@
     }
   }
 
-  /** Without a version or the flag for a complete list the entries count all the same. */
+  /** The entries are used even if the version or the flag of a complete list is missing. */
   @Test
   void invalidHeaderKeepsEntries() throws UnreadableListException {
     EndpointList list = parse("{\"servers\":[" + DRAINING_ENTRY + "]}").get(0);
@@ -200,10 +205,14 @@
                 EndpointListParser.forPoll(OptionalLong.empty(), 0),
                 List.of(TestMessages.buffer("{\"version\":3}".getBytes(StandardCharsets.UTF_8))))
             .get(0);
-    assertEquals(false, list.complete(), "without entries it does not say that there are none");
+    assertEquals(
+        false, list.complete(), "a missing array of entries does not mean that there are none");
   }
 
-  /** Cut at any byte: a draining host is known from the end of its state on, in mid-entry too. */
+  /**
+   * Truncates a list at every byte. A draining host must be reported if its state was received,
+   * even if the rest of its entry was not.
+   */
   @Test
   void truncatedListReportsLeavingEndpoints() {
     for (String complete :
@@ -220,9 +229,9 @@
     }
   }
 
-  /** The states may be written with escape sequences. */
+  /** A state with escape sequences must be found, although it does not contain its literal name. */
   @Test
-  void truncatedListReportsLeavingEndpointsInAnyNotation() {
+  void truncatedListReportsLeavingEndpointsWithEscapes() {
     String escaped = DRAINING_ENTRY.replace("Terminating", "\\u0054erminating");
     String complete = list(9, true, READY_ENTRY + "," + escaped);
     String text = complete.substring(0, complete.length() - 1);
@@ -230,25 +239,29 @@
     assertEquals(List.of(DRAINING_ENDPOINT), unreadable.leavingEndpoints());
   }
 
-  /** A list of thousands of invalid entries is read on the event loop: a stack each is too much. */
+  /**
+   * A list with thousands of invalid entries is parsed on the event loop, where a stack trace for
+   * each would take too long.
+   */
   @Test
-  void invalidEntriesCostNoStackTraces() {
+  void exceptionsForEntriesHaveNoStackTrace() {
     assertEquals(0, InvalidFieldException.missingOrUnreadable("id").getStackTrace().length);
-    assertEquals(0, new MalformedListException("no JSON object").getStackTrace().length);
+    assertEquals(0, new MalformedListException("not a JSON object").getStackTrace().length);
   }
 
   @Test
   void malformedInputIsRejected() {
-    assertUnreadable("it begins with n", "nonsense");
-    assertUnreadable("it begins with [", "[]");
-    assertUnreadable("no JSON object", "{\"version\":1,:,\"servers\":[" + DRAINING_ENTRY + "]}");
+    assertUnreadable("expected a JSON object but found n", "nonsense");
+    assertUnreadable("expected a JSON object but found [", "[]");
+    assertUnreadable("not a JSON object", "{\"version\":1,:,\"servers\":[" + DRAINING_ENTRY + "]}");
     assertUnreadable(
-        "a text that does not end",
+        "unterminated string",
         "{\"version\":1,\"full\":true,\"servers\":[" + DRAINING_ENTRY + ",{\"id\":\"a\n\n");
     assertUnreadable(
         "an entry longer", "{\"servers\":[" + DRAINING_ENTRY + ",{\"id\":\"" + "x".repeat(20_000));
     assertUnreadable(
-        "beside servers", "{\"servers\":[" + DRAINING_ENTRY + "],\"more\":\"" + "x".repeat(20_000));
+        "outside servers",
+        "{\"servers\":[" + DRAINING_ENTRY + "],\"more\":\"" + "x".repeat(20_000));
     assertUnreadable("entries", "{\"servers\":[" + DRAINING_ENTRY + ",{}".repeat(1 << 14));
   }
 
@@ -259,16 +272,16 @@
         text.contains("s-1") ? List.of(DRAINING_ENDPOINT) : List.of(), e.leavingEndpoints());
   }
 
-  /** The cached list is not decoded again, whatever its white space; any other list is. */
+  /** The cached list is not decoded again, regardless of its white space; other lists are. */
   @Test
   void cachedListIsNotDecodedAgain() throws UnreadableListException {
     String text = list(41, true, DRAINING_ENTRY + "," + READY_ENTRY);
     long checksum = parseComplete(text, OptionalLong.empty(), 0).checksum();
-    for (String same : List.of(text, indented(text), text.replace(",", " ,\n"))) {
+    for (String sameList : List.of(text, indented(text), text.replace(",", " ,\n"))) {
       assertEquals(
           new EndpointList(
               OptionalLong.of(41), true, true, checksum, List.of(), List.of(), List.of()),
-          parseComplete(same, OptionalLong.of(41), checksum));
+          parseComplete(sameList, OptionalLong.of(41), checksum));
     }
     assertEquals(2, parseComplete(text, OptionalLong.of(40), checksum).endpoints().size());
     assertEquals(2, parseComplete(text, OptionalLong.empty(), checksum).endpoints().size());
--- a/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
+++ b/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
@@ -10,66 +10,66 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The policy against a simulated agent, in virtual time. */
+/** Tests the policy with a simulated agent in virtual time. */
 class EndpointRefreshPolicyTest {
-  private static final long MILLISECOND = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final long[] DRAIN_GRACES_MILLIS = {
     100, 250, 1000, 2000, 4000, 10_000, 15_000, 60_000
   };
 
-  /** Every change counts as announced after this time, whatever the grace. */
-  private static final long ANNOUNCED_AFTER_MILLIS = 6000;
+  /** A change counts as known to the router after this time, even if the drain grace is longer. */
+  private static final long ANNOUNCEMENT_DEADLINE_MILLIS = 6000;
 
   private interface Scenario {
     void run(SimulatedAgent agent, SplittableRandom random);
   }
 
   /**
-   * The router has whatever the agent has within three quarters of the grace; the last quarter is
-   * left for all else. 40 seeds at each grace.
+   * Asserts for each drain grace and 40 seeds that every change reaches the router within three
+   * quarters of the grace. The last quarter is reserved for other delays.
    */
   private static void assertDelayWithinGrace(Scenario scenario) {
-    for (long drainGrace : DRAIN_GRACES_MILLIS) {
+    for (long drainGraceMillis : DRAIN_GRACES_MILLIS) {
       for (int seed = 0; seed < 40; seed++) {
-        SimulatedAgent agent = new SimulatedAgent(drainGrace, 40, seed).start();
+        SimulatedAgent agent = new SimulatedAgent(drainGraceMillis, 40, seed).start();
         SplittableRandom random = new SplittableRandom(seed);
         agent.runFor(100 + random.nextInt(5000));
         assertEquals(41, agent.receivedVersion);
-        agent.maxDelay = 0;
+        agent.maxDelayMillis = 0;
         scenario.run(agent, random);
         agent.runFor(20_000);
         assertEquals(agent.version, agent.receivedVersion);
-        long bound = Math.min(drainGrace, ANNOUNCED_AFTER_MILLIS) * 3 / 4 + 2;
+        long bound = Math.min(drainGraceMillis, ANNOUNCEMENT_DEADLINE_MILLIS) * 3 / 4 + 2;
         assertTrue(
-            agent.maxDelay <= bound,
-            agent.maxDelay + " ms with a grace of " + drainGrace + ", seed " + seed);
+            agent.maxDelayMillis <= bound,
+            agent.maxDelayMillis + " ms with a grace of " + drainGraceMillis + ", seed " + seed);
       }
     }
   }
 
   @Test
-  void changeArrivesWithoutDelayOnTheWatch() {
+  void watchDeliversChangeWithoutDelay() {
     SimulatedAgent agent = new SimulatedAgent(2000, 40, 1).start();
     agent.runFor(500);
-    agent.maxDelay = 0;
+    agent.maxDelayMillis = 0;
     agent.publishChange();
     agent.runFor(500);
-    assertEquals(0, agent.maxDelay);
+    assertEquals(0, agent.maxDelayMillis);
   }
 
   @Test
-  void silentWatchStaysWithinGrace() {
+  void changeArrivesWithinGraceDespiteStalledWatch() {
     assertDelayWithinGrace(
         (agent, random) -> {
-          agent.silenceWatches();
+          agent.stallWatches();
           agent.runFor(1 + random.nextInt(7000));
           agent.publishChange();
         });
   }
 
-  /** A heartbeat does not prove that a watch brings the changes. */
+  /** A watch that sends heartbeats may still not deliver changes, so polls must detect them. */
   @Test
-  void watchWithHeartbeatsOnlyStaysWithinGrace() {
+  void changeArrivesWithinGraceDespiteWatchWithoutChanges() {
     assertDelayWithinGrace(
         (agent, random) -> {
           agent.heartbeatsOnly = true;
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void brokenWatchStaysWithinGrace() {
+  void changeArrivesWithinGraceDespiteBrokenWatch() {
     assertDelayWithinGrace(
         (agent, random) -> {
           agent.breakWatches();
@@ -91,159 +91,164 @@
         });
   }
 
-  /** The waits do not grow, however long the agent was away and in whichever way. */
+  /** Delays between polls must not grow during an outage of any length or kind. */
   @Test
-  void recoveryOfTheAgentStaysWithinGrace() {
+  void changeArrivesWithinGraceAfterAgentRecovers() {
     for (SimulatedAgent.Behavior behavior :
         List.of(
-            SimulatedAgent.Behavior.SILENT,
-            SimulatedAgent.Behavior.REFUSES,
-            SimulatedAgent.Behavior.TRUNCATES)) {
+            SimulatedAgent.Behavior.UNRESPONSIVE,
+            SimulatedAgent.Behavior.REFUSES_CONNECTIONS,
+            SimulatedAgent.Behavior.TRUNCATES_LISTS)) {
       assertDelayWithinGrace(
           (agent, random) -> {
             agent.behavior = behavior;
             if (random.nextBoolean()) {
               agent.breakWatches();
             } else {
-              agent.silenceWatches();
+              agent.stallWatches();
             }
             agent.runFor(random.nextInt(30_000));
-            agent.behavior = SimulatedAgent.Behavior.ANSWERS;
+            agent.behavior = SimulatedAgent.Behavior.RESPONDS;
             agent.publishChange();
           });
     }
   }
 
-  /** A response that never ends is cut off and polled again; each later one gets more time. */
+  /** A response that never ends is closed and polled again, with more time for each later poll. */
   @Test
-  void endlessResponseIsCutOff() {
+  void endlessResponseTimesOut() {
     assertDelayWithinGrace(
         (agent, random) -> {
-          agent.silenceWatches();
-          agent.behavior = SimulatedAgent.Behavior.DRIPS;
+          agent.stallWatches();
+          agent.behavior = SimulatedAgent.Behavior.NEVER_ENDS_LIST;
           agent.runFor(random.nextInt(3000));
-          agent.behavior = SimulatedAgent.Behavior.ANSWERS;
+          agent.behavior = SimulatedAgent.Behavior.RESPONDS;
           agent.publishChange();
         });
     SimulatedAgent agent = new SimulatedAgent(250, 40, 1).start();
-    agent.behavior = SimulatedAgent.Behavior.DRIPS;
+    agent.behavior = SimulatedAgent.Behavior.NEVER_ENDS_LIST;
     agent.runFor(10_000);
     assertTrue(
-        agent.pollTimes.size() > 5 && agent.pollTimes.size() < 20,
-        "polls with growing time limits: " + agent.pollTimes.size());
+        agent.pollTimesMillis.size() > 5 && agent.pollTimesMillis.size() < 20,
+        "number of polls with growing timeouts: " + agent.pollTimesMillis.size());
   }
 
-  /** A new process that holds an older list, and a new agent with versions of its own. */
+  /** Covers a new process with an older list, and a new agent with independent versions. */
   @Test
-  void listArrivesAtOnceAtStartAndAfterAddressChange() {
-    for (long drainGrace : DRAIN_GRACES_MILLIS) {
-      SimulatedAgent agent = new SimulatedAgent(drainGrace, 40, 3).start();
+  void listArrivesAtOnceAfterStartAndAddressChange() {
+    for (long drainGraceMillis : DRAIN_GRACES_MILLIS) {
+      SimulatedAgent agent = new SimulatedAgent(drainGraceMillis, 40, 3).start();
       agent.runFor(5);
       assertEquals(41, agent.receivedVersion);
-      assertTrue(agent.maxDelay <= 2);
-      agent.policy.addressChanged(agent.now * MILLISECOND);
-      agent.version = 7; // the new agent's own count
+      assertTrue(agent.maxDelayMillis <= 2);
+      agent.policy.addressChanged(agent.nowMillis * NANOS_PER_MILLI);
+      agent.version = 7; // versions of the two agents are independent
       agent.receivedVersion = 6;
-      agent.publishedAt = agent.now;
-      agent.maxDelay = 0;
-      agent.runFor(drainGrace);
+      agent.publishedAtMillis = agent.nowMillis;
+      agent.maxDelayMillis = 0;
+      agent.runFor(drainGraceMillis);
       assertEquals(7, agent.receivedVersion);
-      assertTrue(agent.maxDelay <= 2);
-      assertEquals(1, agent.watches.size(), "the old agent's watch is closed");
+      assertTrue(agent.maxDelayMillis <= 2);
+      assertEquals(1, agent.watches.size(), "only the new agent's watch is open");
     }
   }
 
-  /** The old agent's watch goes on until the new agent has answered. */
+  /** Guards against missing changes while the agent at the new address does not respond yet. */
   @Test
-  void oldWatchCountsUntilTheNewAgentAnswers() {
+  void oldWatchIsUsedUntilNewAgentResponds() {
     SimulatedAgent agent = new SimulatedAgent(250, 40, 3).start();
     agent.runFor(100);
-    agent.behavior = SimulatedAgent.Behavior.SILENT;
-    agent.policy.addressChanged(agent.now * MILLISECOND);
+    agent.behavior = SimulatedAgent.Behavior.UNRESPONSIVE;
+    agent.policy.addressChanged(agent.nowMillis * NANOS_PER_MILLI);
     agent.runFor(3000);
-    int old = agent.watches.keySet().iterator().next();
-    agent.receive(
+    int oldWatch = agent.watches.keySet().iterator().next();
+    agent.recordDecision(
         agent.policy.listReceived(
-            agent.now * MILLISECOND, old, agent.list(false, ++agent.version)));
+            agent.nowMillis * NANOS_PER_MILLI, oldWatch, agent.emptyList(false, ++agent.version)));
     assertEquals(42, agent.receivedVersion);
-    agent.behavior = SimulatedAgent.Behavior.ANSWERS;
+    agent.behavior = SimulatedAgent.Behavior.RESPONDS;
     agent.publishChange();
     agent.runFor(250);
     assertEquals(43, agent.receivedVersion);
-    assertEquals(false, agent.watches.containsKey(old));
+    assertEquals(false, agent.watches.containsKey(oldWatch));
   }
 
   /**
-   * Of an older version only the leaving endpoints count; the list is polled at once, and the third
-   * complete one in a row is accepted.
+   * A list with an older version is ignored and polled again urgently; the third complete one in a
+   * row is applied.
    */
   @Test
-  void olderVersionIsAcceptedAtTheThirdCompleteList() {
+  void thirdCompleteListWithOlderVersionIsApplied() {
     SimulatedAgent agent = new SimulatedAgent(2000, 40, 5).start();
     agent.runFor(50);
     int watch = agent.watches.keySet().iterator().next();
     assertEquals(
         ListDecision.IGNORED_OLDER_VERSION,
-        agent.policy.listReceived(agent.now * MILLISECOND, watch, agent.list(false, 12)));
+        agent.policy.listReceived(
+            agent.nowMillis * NANOS_PER_MILLI, watch, agent.emptyList(false, 12)));
     assertEquals(
         OptionalLong.empty(), agent.policy.cachedVersion(), "the next list is decoded in full");
-    int before = agent.pollTimes.size();
+    int pollsBefore = agent.pollTimesMillis.size();
     agent.runFor(600);
-    assertEquals(before + 1, agent.pollTimes.size());
+    assertEquals(pollsBefore + 1, agent.pollTimesMillis.size());
     agent.version = 5;
     agent.receivedVersion = 4;
-    agent.publishedAt = agent.now;
+    agent.publishedAtMillis = agent.nowMillis;
     agent.runFor(2 * 1000);
     assertEquals(5, agent.receivedVersion);
     agent.version = 4;
     assertEquals(
         ListDecision.IGNORED_OLDER_VERSION,
         agent.policy.listReceived(
-            agent.now * MILLISECOND,
+            agent.nowMillis * NANOS_PER_MILLI,
             agent.watches.keySet().iterator().next(),
-            agent.list(true, 4)));
+            agent.emptyList(true, 4)));
   }
 
-  /** A list that could not be read in full is polled within the interval and decoded again. */
+  /** A list that cannot be read in full is polled within the poll interval and decoded again. */
   @Test
-  void listWithAnInvalidEntryIsPolledAgain() {
+  void listWithInvalidEntryIsPolledAgain() {
     SimulatedAgent agent = new SimulatedAgent(10_000, 40, 5).start();
     agent.wellFormed = false;
     agent.runFor(10);
     assertEquals(OptionalLong.empty(), agent.policy.cachedVersion());
     agent.wellFormed = true;
     agent.runFor(2010);
-    assertEquals(2, agent.pollTimes.size());
+    assertEquals(2, agent.pollTimesMillis.size());
     assertEquals(OptionalLong.of(41), agent.policy.cachedVersion());
   }
 
-  /** The agent's load stays bounded, and 100 routers that start together do not stay in step. */
+  /** The poll rate is bounded, and routers that start together do not keep polling together. */
   @Test
   void pollRateIsBoundedAndJittered() {
     for (Map.Entry<Long, Integer> maxPolls :
         Map.of(250L, 60 * 11, 2000L, 60 * 2, 10_000L, 40).entrySet()) {
-      long drainGrace = maxPolls.getKey();
-      SimulatedAgent healthy = new SimulatedAgent(drainGrace, 40, 1).start();
+      long drainGraceMillis = maxPolls.getKey();
+      SimulatedAgent healthy = new SimulatedAgent(drainGraceMillis, 40, 1).start();
       healthy.runFor(60_000);
       assertTrue(
-          healthy.pollTimes.size() <= maxPolls.getValue(),
-          healthy.pollTimes.size() + " polls with a grace of " + drainGrace);
-      assertEquals(healthy.pollTimes.size() + 1, healthy.opened, "one watch");
-      SimulatedAgent failing = new SimulatedAgent(drainGrace, 40, 1).start();
-      failing.behavior = SimulatedAgent.Behavior.REFUSES;
+          healthy.pollTimesMillis.size() <= maxPolls.getValue(),
+          healthy.pollTimesMillis.size() + " polls with a grace of " + drainGraceMillis);
+      assertEquals(
+          healthy.pollTimesMillis.size() + 1, healthy.openedRequests, "one request is the watch");
+      SimulatedAgent failing = new SimulatedAgent(drainGraceMillis, 40, 1).start();
+      failing.behavior = SimulatedAgent.Behavior.REFUSES_CONNECTIONS;
       failing.runFor(60_000);
       assertTrue(
-          failing.pollTimes.size() <= 60_000 / (Math.min(4000, drainGrace) / 8) + 1,
-          failing.pollTimes.size() + " failing polls");
+          failing.pollTimesMillis.size() <= 60_000 / (Math.min(4000, drainGraceMillis) / 8) + 1,
+          failing.pollTimesMillis.size() + " polls that failed");
     }
-    Map<Long, Integer> together = new TreeMap<>();
+    Map<Long, Integer> lastPollsPer10Millis = new TreeMap<>();
     for (int router = 0; router < 100; router++) {
       SimulatedAgent agent = new SimulatedAgent(2000, 40, router).start();
-      agent.behavior = SimulatedAgent.Behavior.REFUSES;
+      agent.behavior = SimulatedAgent.Behavior.REFUSES_CONNECTIONS;
       agent.runFor(10_000);
-      together.merge(agent.pollTimes.get(agent.pollTimes.size() - 1) / 10, 1, Integer::sum);
+      lastPollsPer10Millis.merge(
+          agent.pollTimesMillis.get(agent.pollTimesMillis.size() - 1) / 10, 1, Integer::sum);
     }
-    assertTrue(together.values().stream().allMatch(count -> count < 15), together.toString());
+    assertTrue(
+        lastPollsPer10Millis.values().stream().allMatch(count -> count < 15),
+        lastPollsPer10Millis.toString());
   }
 
   @Test
@@ -252,10 +257,10 @@
     agent.runFor(100);
     agent.policy.stop();
     assertEquals(0, agent.watches.size() + agent.polls.size());
-    int opened = agent.opened;
-    agent.policy.timerFired(agent.now * MILLISECOND);
-    agent.policy.requestFailed(agent.now * MILLISECOND, 0);
+    int openedRequests = agent.openedRequests;
+    agent.policy.timerFired(agent.nowMillis * NANOS_PER_MILLI);
+    agent.policy.requestFailed(agent.nowMillis * NANOS_PER_MILLI, 0);
     agent.runFor(1000);
-    assertEquals(opened, agent.opened);
+    assertEquals(openedRequests, agent.openedRequests);
   }
 }
--- a/router/src/test/java/rushwood/discovery/ListAcceptancePolicyTest.java
+++ b/router/src/test/java/rushwood/discovery/ListAcceptancePolicyTest.java
@@ -14,7 +14,7 @@
 class ListAcceptancePolicyTest {
   private static final long CHECKSUM = 5;
 
-  private final ListAcceptancePolicy acceptance = new ListAcceptancePolicy(10);
+  private final ListAcceptancePolicy acceptancePolicy = new ListAcceptancePolicy(10);
 
   private static EndpointList list(boolean complete, OptionalLong version, String... problems) {
     return new EndpointList(
@@ -22,36 +22,36 @@
   }
 
   private ListDecision decideOnComplete(long version) {
-    return acceptance.decide(list(true, OptionalLong.of(version)), true);
+    return acceptancePolicy.decide(list(true, OptionalLong.of(version)), true);
   }
 
-  private ListDecision decideOnChange(long version) {
-    return acceptance.decide(list(false, OptionalLong.of(version)), true);
+  private ListDecision decideOnUpdate(long version) {
+    return acceptancePolicy.decide(list(false, OptionalLong.of(version)), true);
   }
 
   @Test
-  void versionCountsOnceACompleteListOfTheAgentHasCome() {
-    assertEquals(APPLIED, decideOnChange(11));
-    assertEquals(OptionalLong.empty(), acceptance.currentAgentVersion());
-    assertTrue(acceptance.isChange(OptionalLong.of(11)));
+  void versionIsKnownAfterCompleteListOfCurrentAgent() {
+    assertEquals(APPLIED, decideOnUpdate(11));
+    assertEquals(OptionalLong.empty(), acceptancePolicy.currentAgentVersion());
+    assertTrue(acceptancePolicy.isDifferentVersion(OptionalLong.of(11)));
     assertEquals(APPLIED, decideOnComplete(11));
-    assertEquals(OptionalLong.of(11), acceptance.currentAgentVersion());
-    assertFalse(acceptance.isChange(OptionalLong.of(11)));
-    assertTrue(acceptance.isChange(OptionalLong.of(12)));
-    assertTrue(acceptance.isChange(OptionalLong.empty()));
+    assertEquals(OptionalLong.of(11), acceptancePolicy.currentAgentVersion());
+    assertFalse(acceptancePolicy.isDifferentVersion(OptionalLong.of(11)));
+    assertTrue(acceptancePolicy.isDifferentVersion(OptionalLong.of(12)));
+    assertTrue(acceptancePolicy.isDifferentVersion(OptionalLong.empty()));
   }
 
   @Test
-  void olderVersionIsAppliedFromTheThirdCompleteListInARow() {
+  void thirdConsecutiveCompleteListWithOlderVersionIsApplied() {
     assertEquals(IGNORED_OLDER_VERSION, decideOnComplete(9));
-    assertEquals(IGNORED_OLDER_VERSION, decideOnChange(9));
+    assertEquals(IGNORED_OLDER_VERSION, decideOnUpdate(9));
     assertEquals(IGNORED_OLDER_VERSION, decideOnComplete(8));
     assertEquals(APPLIED, decideOnComplete(9));
-    assertEquals(OptionalLong.of(9), acceptance.currentAgentVersion());
+    assertEquals(OptionalLong.of(9), acceptancePolicy.currentAgentVersion());
   }
 
   @Test
-  void appliedCompleteListEndsTheRowOfOlderOnes() {
+  void appliedCompleteListResetsCountOfOlderLists() {
     assertEquals(IGNORED_OLDER_VERSION, decideOnComplete(9));
     assertEquals(IGNORED_OLDER_VERSION, decideOnComplete(9));
     assertEquals(APPLIED, decideOnComplete(10));
@@ -59,40 +59,45 @@
   }
 
   @Test
-  void versionsOfAnotherAgentDoNotCompare() {
+  void versionsOfDifferentAgentsAreNotCompared() {
     assertEquals(APPLIED, decideOnComplete(10));
-    acceptance.agentChanged();
-    assertEquals(OptionalLong.empty(), acceptance.currentAgentVersion());
+    acceptancePolicy.agentChanged();
+    assertEquals(OptionalLong.empty(), acceptancePolicy.currentAgentVersion());
     assertEquals(
         IGNORED_OLDER_VERSION,
-        acceptance.decide(list(true, OptionalLong.of(3)), false),
-        "of the former agent");
-    assertEquals(IGNORED_OLDER_VERSION, decideOnChange(3), "not a complete list");
+        acceptancePolicy.decide(list(true, OptionalLong.of(3)), false),
+        "list of the previous agent");
+    assertEquals(IGNORED_OLDER_VERSION, decideOnUpdate(3), "list is not complete");
     assertEquals(APPLIED, decideOnComplete(3));
     assertEquals(
-        IGNORED_OLDER_VERSION, decideOnComplete(2), "the first list of the new agent has come");
+        IGNORED_OLDER_VERSION,
+        decideOnComplete(2),
+        "the new agent has already sent a complete list");
   }
 
   @Test
-  void listWithoutAVersionIsApplied() {
-    assertEquals(APPLIED, acceptance.decide(list(true, OptionalLong.empty()), true));
-    assertEquals(OptionalLong.of(10), acceptance.currentAgentVersion());
+  void listWithoutVersionIsApplied() {
+    assertEquals(APPLIED, acceptancePolicy.decide(list(true, OptionalLong.empty()), true));
+    assertEquals(OptionalLong.of(10), acceptancePolicy.currentAgentVersion());
   }
 
-  /** A list is cached until something casts doubt on it; an unchanged one restores that. */
+  /**
+   * A failed request, an ignored list or a list with problems invalidates the cache; an unchanged
+   * list makes it valid again.
+   */
   @Test
-  void listIsCachedWhileItIsCertain() {
+  void cacheIsInvalidUntilListIsReceivedInFull() {
     assertEquals(APPLIED, decideOnComplete(10));
-    assertEquals(OptionalLong.of(10), acceptance.cachedVersion());
-    assertEquals(CHECKSUM, acceptance.cachedChecksum());
-    acceptance.requestFailed();
-    assertEquals(OptionalLong.empty(), acceptance.cachedVersion());
-    assertEquals(UNCHANGED, acceptance.decide(EndpointList.unchanged(10, CHECKSUM), true));
-    assertEquals(OptionalLong.of(10), acceptance.cachedVersion());
-    assertEquals(IGNORED_OLDER_VERSION, decideOnChange(9));
-    assertEquals(OptionalLong.empty(), acceptance.cachedVersion());
+    assertEquals(OptionalLong.of(10), acceptancePolicy.cachedVersion());
+    assertEquals(CHECKSUM, acceptancePolicy.cachedChecksum());
+    acceptancePolicy.requestFailed();
+    assertEquals(OptionalLong.empty(), acceptancePolicy.cachedVersion());
+    assertEquals(UNCHANGED, acceptancePolicy.decide(EndpointList.unchanged(10, CHECKSUM), true));
+    assertEquals(OptionalLong.of(10), acceptancePolicy.cachedVersion());
+    assertEquals(IGNORED_OLDER_VERSION, decideOnUpdate(9));
+    assertEquals(OptionalLong.empty(), acceptancePolicy.cachedVersion());
     assertEquals(
-        APPLIED, acceptance.decide(list(false, OptionalLong.of(10), "id is missing"), true));
-    assertEquals(OptionalLong.empty(), acceptance.cachedVersion());
+        APPLIED, acceptancePolicy.decide(list(false, OptionalLong.of(10), "id is missing"), true));
+    assertEquals(OptionalLong.empty(), acceptancePolicy.cachedVersion());
   }
 }
--- a/router/src/test/java/rushwood/discovery/SimulatedAgent.java
+++ b/router/src/test/java/rushwood/discovery/SimulatedAgent.java
@@ -8,57 +8,57 @@
 import java.util.TreeMap;
 
 /**
- * A discovery agent and a router that follows it by the policy, in virtual time of a millisecond a
- * step. A response takes one step; a watch brings a change in the step after it.
+ * Simulates a discovery agent and a router that uses {@link EndpointRefreshPolicy}, in virtual time
+ * with steps of one millisecond. The agent responds to a poll one step after it was opened.
  */
 final class SimulatedAgent implements EndpointRefreshPolicy.Transport {
   enum Behavior {
-    ANSWERS,
-    SILENT,
-    REFUSES,
-    TRUNCATES,
-    /** Sends data all the time and never ends a list. */
-    DRIPS
+    RESPONDS,
+    UNRESPONSIVE,
+    REFUSES_CONNECTIONS,
+    TRUNCATES_LISTS,
+    /** Sends data in every step of a poll without ending the list. */
+    NEVER_ENDS_LIST
   }
 
-  private static final long MILLISECOND = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final long HEARTBEAT_MILLIS = 2000;
 
   final EndpointRefreshPolicy policy;
-  final Map<Integer, Long> watches = new TreeMap<>(); // version that each has sent
-  final Map<Integer, Long> polls = new TreeMap<>(); // when each was opened
-  final List<Integer> silentWatches = new ArrayList<>();
-  final List<Long> pollTimes = new ArrayList<>();
-  Behavior behavior = Behavior.ANSWERS;
+  final Map<Integer, Long> watches = new TreeMap<>(); // latest version sent on each
+  final Map<Integer, Long> polls = new TreeMap<>(); // time in ms at which each was opened
+  final List<Integer> stalledWatches = new ArrayList<>();
+  final List<Long> pollTimesMillis = new ArrayList<>();
+  Behavior behavior = Behavior.RESPONDS;
   boolean wellFormed = true;
-  boolean heartbeatsOnly; // watches send heartbeats and no changes
-  long now = 1_000_000;
+  boolean heartbeatsOnly; // watches send heartbeats but no changes
+  long nowMillis = 1_000_000;
   long version = 41;
-  long publishedAt = now;
+  long publishedAtMillis = nowMillis;
   long receivedVersion = -1;
-  long maxDelay; // ms from when the agent had a version until the router had it
-  long wakeupAt = Long.MAX_VALUE;
-  int opened;
+  long maxDelayMillis; // longest time from publishing a version until the router received it
+  long wakeupAtNanos = Long.MAX_VALUE;
+  int openedRequests;
 
-  SimulatedAgent(long drainGrace, long knownVersion, long seed) {
+  SimulatedAgent(long drainGraceMillis, long lastKnownVersion, long seed) {
     policy =
         new EndpointRefreshPolicy(
-            drainGrace * MILLISECOND, knownVersion, new SplittableRandom(seed), this);
+            drainGraceMillis * NANOS_PER_MILLI, lastKnownVersion, new SplittableRandom(seed), this);
   }
 
   SimulatedAgent start() {
-    policy.start(now * MILLISECOND);
+    policy.start(nowMillis * NANOS_PER_MILLI);
     return this;
   }
 
   @Override
   public void open(int requestNumber, boolean watch, long sinceVersion) {
-    opened++;
+    openedRequests++;
     if (watch) {
       watches.put(requestNumber, sinceVersion);
     } else {
-      pollTimes.add(now);
-      polls.put(requestNumber, now);
+      pollTimesMillis.add(nowMillis);
+      polls.put(requestNumber, nowMillis);
     }
   }
 
@@ -70,11 +70,11 @@
 
   @Override
   public void scheduleWakeup(long at) {
-    wakeupAt = at;
+    wakeupAtNanos = at;
   }
 
-  /** A list without entries, with a problem unless the agent's lists are well formed. */
-  EndpointList list(boolean complete, long listVersion) {
+  /** Returns a list without entries; it has a problem unless {@link #wellFormed} is set. */
+  EndpointList emptyList(boolean complete, long listVersion) {
     return new EndpointList(
         OptionalLong.of(listVersion),
         complete,
@@ -85,80 +85,86 @@
         wellFormed ? List.of() : List.of("addr is missing or cannot be read"));
   }
 
-  /** The agent has a new version of the list from now on. */
+  /** Publishes a new version of the list. */
   void publishChange() {
     version++;
-    publishedAt = now;
+    publishedAtMillis = nowMillis;
   }
 
-  /** The router has got the agent's current version. */
-  void receive(ListDecision decision) {
+  /** Records that the router has received the current version, if the decision was to apply it. */
+  void recordDecision(ListDecision decision) {
     if (decision == ListDecision.APPLIED && receivedVersion < version) {
       receivedVersion = version;
-      maxDelay = Math.max(maxDelay, now - publishedAt);
+      maxDelayMillis = Math.max(maxDelayMillis, nowMillis - publishedAtMillis);
     }
   }
 
-  /** Runs so many steps: the router's timer, then the polls, then the watches. */
+  /** In each step, runs the router's timer, then responds to polls, then sends on watches. */
   void runFor(long millis) {
-    for (long end = now + millis; now < end; now++) {
-      if (now * MILLISECOND >= wakeupAt) {
-        wakeupAt = Long.MAX_VALUE;
-        policy.timerFired(now * MILLISECOND);
+    for (long end = nowMillis + millis; nowMillis < end; nowMillis++) {
+      if (nowMillis * NANOS_PER_MILLI >= wakeupAtNanos) {
+        wakeupAtNanos = Long.MAX_VALUE;
+        policy.timerFired(nowMillis * NANOS_PER_MILLI);
       }
       List.copyOf(polls.keySet()).forEach(this::answerPoll);
-      List.copyOf(watches.keySet()).forEach(this::feedWatch);
+      List.copyOf(watches.keySet()).forEach(this::sendOnWatch);
     }
   }
 
   private void answerPoll(int requestNumber) {
-    if (now <= polls.get(requestNumber)) {
-      return; // a response takes a step
+    if (nowMillis <= polls.get(requestNumber)) {
+      return; // responds in the next step
     }
     switch (behavior) {
-      case ANSWERS -> {
-        receive(policy.listReceived(now * MILLISECOND, requestNumber, list(true, version)));
-        policy.dataReceived(now * MILLISECOND, requestNumber, true);
-        policy.responseCompleted(now * MILLISECOND, requestNumber);
+      case RESPONDS -> {
+        recordDecision(
+            policy.listReceived(
+                nowMillis * NANOS_PER_MILLI, requestNumber, emptyList(true, version)));
+        policy.dataReceived(nowMillis * NANOS_PER_MILLI, requestNumber, true);
+        policy.responseCompleted(nowMillis * NANOS_PER_MILLI, requestNumber);
       }
-      case REFUSES, TRUNCATES -> policy.requestFailed(now * MILLISECOND, requestNumber);
-      case DRIPS -> policy.dataReceived(now * MILLISECOND, requestNumber, false);
-      case SILENT -> {
+      case REFUSES_CONNECTIONS, TRUNCATES_LISTS ->
+          policy.requestFailed(nowMillis * NANOS_PER_MILLI, requestNumber);
+      case NEVER_ENDS_LIST ->
+          policy.dataReceived(nowMillis * NANOS_PER_MILLI, requestNumber, false);
+      case UNRESPONSIVE -> {
         // the poll stays open
       }
       default -> throw new IllegalStateException("behavior " + behavior);
     }
   }
 
-  private void feedWatch(int requestNumber) {
-    if (behavior != Behavior.ANSWERS || silentWatches.contains(requestNumber)) {
+  private void sendOnWatch(int requestNumber) {
+    if (behavior != Behavior.RESPONDS || stalledWatches.contains(requestNumber)) {
       return;
     }
     if (heartbeatsOnly) {
-      if (now % 200 == 0) {
-        policy.dataReceived(now * MILLISECOND, requestNumber, true);
+      if (nowMillis % 200 == 0) {
+        policy.dataReceived(nowMillis * NANOS_PER_MILLI, requestNumber, true);
       }
     } else if (watches.get(requestNumber) < version) {
       watches.put(requestNumber, version);
-      receive(policy.listReceived(now * MILLISECOND, requestNumber, list(false, version)));
-      policy.dataReceived(now * MILLISECOND, requestNumber, true);
-    } else if (now % HEARTBEAT_MILLIS == 0) {
-      policy.dataReceived(now * MILLISECOND, requestNumber, true);
+      recordDecision(
+          policy.listReceived(
+              nowMillis * NANOS_PER_MILLI, requestNumber, emptyList(false, version)));
+      policy.dataReceived(nowMillis * NANOS_PER_MILLI, requestNumber, true);
+    } else if (nowMillis % HEARTBEAT_MILLIS == 0) {
+      policy.dataReceived(nowMillis * NANOS_PER_MILLI, requestNumber, true);
     }
   }
 
-  /** The watches that are open now send nothing any more. */
-  void silenceWatches() {
-    silentWatches.addAll(watches.keySet());
+  /** Makes the open watches send nothing more. */
+  void stallWatches() {
+    stalledWatches.addAll(watches.keySet());
   }
 
-  /** The watches that are open now end with a connection error. */
+  /** Fails the open watches as if their connections had been lost. */
   void breakWatches() {
     List.copyOf(watches.keySet())
         .forEach(
             requestNumber -> {
               watches.remove(requestNumber);
-              policy.requestFailed(now * MILLISECOND, requestNumber);
+              policy.requestFailed(nowMillis * NANOS_PER_MILLI, requestNumber);
             });
   }
 }
