--- a/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
@@ -13,7 +13,7 @@
   /** Maximum number of problems reported per list; further ones are usually of the same kind. */
   private static final int MAX_PROBLEMS = 20;
 
-  private static final String INVALID_ELEMENT =
+  private static final String INVALID_ELEMENT_PROBLEM =
       DiscoveryProtocol.ENTRIES + " has an element that is not an entry";
 
   private final List<EndpointAddress> endpoints = new ArrayList<>();
@@ -49,7 +49,7 @@
 
   /** Reports an element of the array of entries that is not an entry. */
   void addInvalidElement() {
-    addProblem(INVALID_ELEMENT);
+    addProblem(INVALID_ELEMENT_PROBLEM);
   }
 
   /**
--- a/router/src/main/java/rushwood/discovery/EndpointListTokenizer.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListTokenizer.java
@@ -92,7 +92,7 @@
     return entries.entry(index);
   }
 
-  /** Returns the number of gaps between entries with other elements, for example numbers. */
+  /** Returns how many gaps between entries contain other elements, for example numbers. */
   int invalidElementCount() {
     return invalidElementCount;
   }
--- a/router/src/main/java/rushwood/discovery/ListAcceptancePolicy.java
+++ b/router/src/main/java/rushwood/discovery/ListAcceptancePolicy.java
@@ -4,7 +4,7 @@
 
 /**
  * Decides by version whether a list from discovery is applied, and tracks the version of the
- * current list, which is the list that results from those applied so far.
+ * current list (the result of all lists applied so far).
  *
  * <p>An agent's versions increase. A list with an older version may have been delayed, or the agent
  * may have lost its state, so such a list is applied only if the agent keeps sending older lists.
@@ -90,7 +90,10 @@
     return ListDecision.APPLIED;
   }
 
-  /** Returns whether to ignore the list as older, and counts complete older lists in a row. */
+  /**
+   * Returns whether to ignore the list because its version is older, and counts the complete lists
+   * in a row with an older version.
+   */
   private boolean isTooOld(EndpointList list, boolean fromCurrentAgent) {
     boolean isOlder = list.version().isPresent() && list.version().getAsLong() < appliedVersion;
     boolean isFirstOfNewAgent =
--- a/router/src/main/java/rushwood/discovery/ListDecision.java
+++ b/router/src/main/java/rushwood/discovery/ListDecision.java
@@ -11,7 +11,7 @@
  * PollSchedule}).
  */
 public enum ListDecision {
-  /** Ignored because its request is closed already. */
+  /** Ignored because its request is closed already, for example after a timeout. */
   IGNORED_REQUEST_CLOSED,
   /**
    * Ignored because its version is older than that of the current list, see {@link
--- a/router/src/main/java/rushwood/discovery/OpenRequests.java
+++ b/router/src/main/java/rushwood/discovery/OpenRequests.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Returns when data arrived last that shows the request to make progress; initially the time at
-     * which it was opened.
+     * Returns when data that counts as progress last arrived; initially the time at which the
+     * request was opened.
      */
     long lastDataAt() {
       return lastDataAt;
--- a/router/src/main/java/rushwood/discovery/PollSchedule.java
+++ b/router/src/main/java/rushwood/discovery/PollSchedule.java
@@ -17,8 +17,8 @@
  *       limit applies after a timeout in mid-response ({@link #deadline}, {@link #pollTimedOut}).
  * </ul>
  *
- * <p>Delays do not back off while the agent is down: the agent serves only this router, so there is
- * no shared server to protect, and longer delays would exceed the maximum staleness. All times are
+ * <p>Delays do not grow while the agent is down: the agent serves only this router, so there is no
+ * shared server to protect, and longer delays would exceed the maximum staleness. All times are
  * nanoseconds of the caller's clock.
  */
 final class PollSchedule {
@@ -34,13 +34,13 @@
   private static final long MIN_INTERVAL_NANOS = 25 * NANOS_PER_MILLI;
 
   /**
-   * Upper limit of the maximum staleness. The platform expects the router to comply with a change 6
-   * s after the agent has it. A poll interval and two response timeouts add up to this value, which
-   * leaves 2 s.
+   * Upper limit of the maximum staleness. The platform expects the router to comply with a change
+   * within 6 s after the agent has it. A poll interval and two response timeouts add up to this
+   * value, which leaves 2 s.
    */
   private static final long MAX_STALENESS_NANOS = 4000 * NANOS_PER_MILLI;
 
-  /** Limit of the whole poll, in response timeouts, while data keeps arriving. */
+  /** Maximum duration of a poll whose data keeps arriving, in response timeouts. */
   private static final int MAX_RESPONSE_TIMEOUTS_PER_POLL = 4;
 
   private final RandomGenerator random;
--- a/router/src/test/java/rushwood/discovery/SimulatedAgent.java
+++ b/router/src/test/java/rushwood/discovery/SimulatedAgent.java
@@ -9,7 +9,8 @@
 
 /**
  * Simulates a discovery agent and a router that uses {@link EndpointRefreshPolicy}, in virtual time
- * with steps of one millisecond. The agent responds to a poll one step after it was opened.
+ * with steps of one millisecond. The agent responds to a poll one step after it was opened, and
+ * sends a change on its watches in the step after it was published.
  */
 final class SimulatedAgent implements EndpointRefreshPolicy.Transport {
   enum Behavior {
