--- a/router/src/main/java/rushwood/policy/Attempt.java
+++ b/router/src/main/java/rushwood/policy/Attempt.java
@@ -14,20 +14,20 @@
   final long sentAt;
 
   /** Whether this attempt is a control sample: presumed lost only when that is certain. */
-  final boolean isControl;
+  final boolean isControlSample;
 
   private @Nullable AttemptOutcome outcome;
   private boolean cancelled;
-  private int overtakenBy;
+  private int overtakenCount;
   private boolean presumedLost;
 
   /** Creates the next attempt of a request, in flight from now on. */
-  Attempt(PendingRequest pending, HostState host, long sentAt, boolean isControl) {
+  Attempt(PendingRequest pending, HostState host, long sentAt, boolean isControlSample) {
     this.pending = pending;
     this.number = pending.attemptCount();
     this.host = host;
     this.sentAt = sentAt;
-    this.isControl = isControl;
+    this.isControlSample = isControlSample;
   }
 
   /** The attempt has ended. */
@@ -40,8 +40,8 @@
   }
 
   /** Whether the attempt has ended in that way. */
-  boolean endedAs(AttemptOutcome other) {
-    return outcome == other;
+  boolean endedWith(AttemptOutcome expected) {
+    return outcome == expected;
   }
 
   /** Whether the host may have executed the request: unless the outcome proves that it has not. */
@@ -50,20 +50,20 @@
   }
 
   /** Marks the attempt as cancelled; returns whether it was not yet. */
-  boolean cancel() {
+  boolean markCancelled() {
     boolean isFirst = !cancelled;
     cancelled = true;
     return isFirst;
   }
 
   /** A later attempt at the same host has been answered. */
-  void overtaken() {
-    overtakenBy++;
+  void incrementOvertakenCount() {
+    overtakenCount++;
   }
 
   /** How many later attempts at the same host have been answered since. */
-  int overtakenBy() {
-    return overtakenBy;
+  int overtakenCount() {
+    return overtakenCount;
   }
 
   /** The answer is not expected any more; {@link InFlightAttempts#presumeLost} calls this. */
@@ -76,7 +76,7 @@
   }
 
   /** How long its host has not answered anything, in nanoseconds, since it was sent at the most. */
-  long silenceNanos(long now) {
+  long hostSilenceNanos(long now) {
     return now - Math.max(host.health.lastAnswerAt(), sentAt);
   }
 }
--- a/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
@@ -10,10 +10,10 @@
  */
 final class ConcurrencyLimiter {
   /** The least limit of all routers together at one host: it keeps several cores busy. */
-  private static final double MIN_LIMIT_OF_ALL_ROUTERS = 6;
+  private static final double MIN_TOTAL_LIMIT = 6;
 
   /** The first limit of a host, as a multiple of the least one. */
-  private static final int INITIAL_MULTIPLE = 2;
+  private static final int INITIAL_LIMIT_MULTIPLE = 2;
 
   /** The share of its slots that the primary gives to reads; the rest is for writes. */
   private static final double PRIMARY_READ_SHARE = 0.5;
@@ -60,7 +60,7 @@
 
   /** This router's part of the least limit of all routers: whole slots, or a share of one. */
   private static double minLimit(RoutingSettings settings) {
-    double share = MIN_LIMIT_OF_ALL_ROUTERS / Math.max(1, settings.routerCount());
+    double share = MIN_TOTAL_LIMIT / Math.max(1, settings.routerCount());
     return share < 1 ? share : Math.floor(share);
   }
 
@@ -71,7 +71,7 @@
 
   /** The limit of a host of which nothing is known yet. */
   double initialLimit() {
-    return INITIAL_MULTIPLE * minLimit;
+    return INITIAL_LIMIT_MULTIPLE * minLimit;
   }
 
   /**
@@ -100,7 +100,7 @@
   }
 
   /** Whether the host can take any attempt now. */
-  boolean canTakeAny(HostState host, long now) {
+  boolean canTakeAttempt(HostState host, long now) {
     return host.occupiedSlots() < effectiveLimit(host, now) || healthChecks.isTrialDue(host, now);
   }
 
@@ -117,7 +117,7 @@
     }
     double limit = host.concurrency.limit();
     double oneSlot = Math.min(1, 1 / limit);
-    double share = Math.max(oneSlot, slowStart.share(host, now));
+    double share = Math.max(oneSlot, slowStart.loadShare(host, now));
     return limit * share;
   }
 
@@ -143,7 +143,7 @@
    */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
-    double latencyRatio = result.durationNanos() / attempt.pending.objectiveTime();
+    double latencyRatio = result.durationNanos() / attempt.pending.objectiveNanos();
     switch (result.outcome()) {
       case SUCCESS -> {
         adjust(host, latencyRatio, now);
@@ -168,7 +168,7 @@
           CONNECT_FAILED,
           NOT_SENT -> {}
     }
-    pauseToLimit(attempt, result.durationNanos(), now);
+    pauseForFractionalLimit(attempt, result.durationNanos(), now);
   }
 
   /**
@@ -193,9 +193,9 @@
   }
 
   /** Pauses a host whose limit is below one, so long that its average use equals the limit. */
-  private void pauseToLimit(Attempt attempt, long durationNanos, long now) {
+  private void pauseForFractionalLimit(Attempt attempt, long durationNanos, long now) {
     HostState host = attempt.host;
-    double maxWork = MAX_WORK_MULTIPLE * serviceTimes.expected(attempt.pending);
+    double maxWork = MAX_WORK_MULTIPLE * serviceTimes.expectedNanos(attempt.pending);
     double work = Math.min(durationNanos, maxWork);
     double pause = work * Math.max(0, 1 / host.concurrency.limit() - 1);
     long idleCreditNanos = isSlow(host) ? 0 : MAX_IDLE_CREDIT_NANOS;
--- a/router/src/main/java/rushwood/policy/DeadlinePolicy.java
+++ b/router/src/main/java/rushwood/policy/DeadlinePolicy.java
@@ -62,12 +62,12 @@
   long answerDeadline(PendingRequest pending) {
     long deadline = Math.min(pending.request.deadline(), shutdownAt) - answerReserveNanos();
     if (!pending.hasAttempts() && pending.requestClass.lateValue() == 0) {
-      return Math.min(deadline, halfOfTime(pending) - marginNanos);
+      return Math.min(deadline, halfwayTime(pending) - marginNanos);
     }
     return deadline;
   }
 
-  private static long halfOfTime(PendingRequest pending) {
+  private static long halfwayTime(PendingRequest pending) {
     long deadline = pending.request.deadline();
     return deadline - (deadline - pending.arrivedAt) / 2;
   }
--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -5,17 +5,17 @@
 import rushwood.api.PolicyActions;
 
 /**
- * The deadlines of a router's requests in order of time, equal ones in order of entry; and the one
- * timer that it has asked for.
+ * The deadlines of a router's requests in sequenceNumber of time, equal ones in sequenceNumber of
+ * entry; and the one timer that it has asked for.
  */
 final class DeadlineQueue {
-  private record Entry(long deadline, long order, PendingRequest pending)
+  private record Entry(long deadline, long sequenceNumber, PendingRequest pending)
       implements Comparable<Entry> {
     @Override
     public int compareTo(Entry other) {
       return deadline != other.deadline
           ? Long.compare(deadline, other.deadline)
-          : Long.compare(order, other.order);
+          : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
@@ -23,7 +23,7 @@
 
   private final PriorityQueue<Entry> entries = new PriorityQueue<>();
   private final PolicyActions actions;
-  private long nextOrder;
+  private long nextSequenceNumber;
   private long timerAt = NO_TIMER;
 
   DeadlineQueue(PolicyActions actions) {
@@ -31,7 +31,7 @@
   }
 
   void add(long deadline, PendingRequest pending) {
-    entries.add(new Entry(deadline, nextOrder++, pending));
+    entries.add(new Entry(deadline, nextSequenceNumber++, pending));
     requestTimer(deadline);
   }
 
--- a/router/src/main/java/rushwood/policy/Decision.java
+++ b/router/src/main/java/rushwood/policy/Decision.java
@@ -6,7 +6,9 @@
  * already, so that a decision allocates nothing.
  */
 sealed interface Decision {
-  /** An attempt goes to that host; {@link HostState#sendHere} is the one such object of a host. */
+  /**
+   * An attempt goes to that host; {@link HostState#sendDecision} is the one such object of a host.
+   */
   record Send(HostState host) implements Decision {}
 
   /** The request waits in the queue of its group for one of its hosts. */
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -84,7 +84,7 @@
 
   @Override
   public void endpointRefreshFailed(long now) {
-    subscription.failed(now);
+    subscription.refreshFailed(now);
   }
 
   @Override
--- a/router/src/main/java/rushwood/policy/EndpointPolicy.java
+++ b/router/src/main/java/rushwood/policy/EndpointPolicy.java
@@ -46,7 +46,7 @@
     if (endpoint.state() == Endpoint.State.REMOVED && !isRemovalBinding) {
       return;
     }
-    host.listed(endpoint);
+    host.endpointListed(endpoint);
     if (endpoint.state() != Endpoint.State.READY) {
       host.leaveGroup();
       return;
--- a/router/src/main/java/rushwood/policy/EndpointSubscription.java
+++ b/router/src/main/java/rushwood/policy/EndpointSubscription.java
@@ -15,26 +15,26 @@
   /** The longest delay is this part of the time within which a failed request is repeated. */
   private static final int MAX_DELAY_DIVISOR = 4;
 
-  private static final long NOT_PLANNED = Long.MAX_VALUE;
+  private static final long NO_RETRY = Long.MAX_VALUE;
 
   private final boolean subscribes;
   private final long maxDelayNanos;
   private final RandomGenerator random;
   private final PolicyActions actions;
-  private final DeadlineQueue timer;
+  private final DeadlineQueue deadlineQueue;
   private long delayNanos;
-  private long retryAt = NOT_PLANNED;
+  private long retryAt = NO_RETRY;
 
   EndpointSubscription(
       RoutingSettings settings,
       RandomGenerator random,
       PolicyActions actions,
-      DeadlineQueue timer) {
+      DeadlineQueue deadlineQueue) {
     subscribes = settings.subscribesToEndpoints();
     maxDelayNanos = settings.refreshWithinNanos() / MAX_DELAY_DIVISOR;
     this.random = random;
     this.actions = actions;
-    this.timer = timer;
+    this.deadlineQueue = deadlineQueue;
   }
 
   /** Asks for the list, where the deployment has one to ask for. */
@@ -50,16 +50,16 @@
   }
 
   /** Plans to ask again, between a half and one and a half of the current delay from now. */
-  void failed(long now) {
+  void refreshFailed(long now) {
     delayNanos = Math.min(Math.max(2 * delayNanos, MIN_DELAY_NANOS), maxDelayNanos);
     retryAt = now + delayNanos / 2 + random.nextLong(delayNanos);
-    timer.requestTimer(retryAt);
+    deadlineQueue.requestTimer(retryAt);
   }
 
   /** Asks again if that is due. */
   void retryIfDue(long now) {
     if (now >= retryAt) {
-      retryAt = NOT_PLANNED;
+      retryAt = NO_RETRY;
       actions.subscribeToEndpoints();
     }
   }
--- a/router/src/main/java/rushwood/policy/FreshnessPolicy.java
+++ b/router/src/main/java/rushwood/policy/FreshnessPolicy.java
@@ -21,7 +21,7 @@
   private static final long DEFAULT_STALENESS_NANOS = 5 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   /** Clients send the time since their last write in whole milliseconds. */
-  private static final long ROUNDING_NANOS = 1_000_000L;
+  private static final long LAST_WRITE_RESOLUTION_NANOS = 1_000_000L;
 
   private final boolean tracksSessionWrites;
   private final long minStalenessBoundNanos;
@@ -70,7 +70,7 @@
     if (!pending.request.hasLastWrite()) {
       return PendingRequest.ANY_POSITION;
     }
-    return pending.arrivedAt - pending.request.sinceLastWriteNanos() + ROUNDING_NANOS;
+    return pending.arrivedAt - pending.request.sinceLastWriteNanos() + LAST_WRITE_RESOLUTION_NANOS;
   }
 
   /**
--- a/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
+++ b/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
@@ -15,7 +15,7 @@
   private static final double CHECKS_PER_REQUEST = 0.1;
 
   /** How many may be saved up: about a group's health checks and its hosts' first trials. */
-  private static final int MAX_SAVED_CHECKS = 10;
+  private static final int MAX_ACCRUED_CHECKS = 10;
 
   /**
    * Between two trial requests or health checks of an ejected host; short, since the budget limits
@@ -24,7 +24,8 @@
   static final long TRIAL_INTERVAL_NANOS = 5 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   /** Until an unreachable host is checked again: the first health check may get lost. */
-  private static final long FIRST_INTERVAL_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
+  private static final long FIRST_RECHECK_INTERVAL_NANOS =
+      DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   private final boolean hasHealthChecks;
   private final boolean hasLoadReports;
@@ -41,7 +42,7 @@
 
   /** Each request adds to the budget. */
   void requestReceived() {
-    budget.add(CHECKS_PER_REQUEST, MAX_SAVED_CHECKS);
+    budget.add(CHECKS_PER_REQUEST, MAX_ACCRUED_CHECKS);
   }
 
   /**
@@ -66,7 +67,7 @@
   /** Checks an ejected host. */
   void hostEjected(HostState host, long now) {
     boolean isUnreachable = host.health.isUnreachable();
-    long intervalNanos = isUnreachable ? FIRST_INTERVAL_NANOS : TRIAL_INTERVAL_NANOS;
+    long intervalNanos = isUnreachable ? FIRST_RECHECK_INTERVAL_NANOS : TRIAL_INTERVAL_NANOS;
     host.health.scheduleTrial(now + intervalNanos);
     checkHealth(host);
   }
@@ -104,7 +105,7 @@
    * first, which only a health check brings back: reads that find no fresh replica would otherwise
    * use up the budget, and such hosts would stay ejected.
    */
-  void checkHealthOfLeastRecentlyHeard(GroupState group, long maxAgeNanos, long now) {
+  void checkReplicaWithOldestReport(GroupState group, long maxAgeNanos, long now) {
     if (!hasLoadReports) {
       return;
     }
@@ -115,8 +116,8 @@
     }
     group.replicas().stream()
         .filter(host -> !host.health.isUnreachable() && !host.health.isHealthCheckInFlight())
-        .min(Comparator.comparingLong(host -> host.replication.positionHeardAt()))
-        .filter(host -> host.replication.positionHeardAt() < now - maxAgeNanos)
+        .min(Comparator.comparingLong(host -> host.replication.positionReportedAt()))
+        .filter(host -> host.replication.positionReportedAt() < now - maxAgeNanos)
         .ifPresent(this::checkHealth);
   }
 }
--- a/router/src/main/java/rushwood/policy/HostState.java
+++ b/router/src/main/java/rushwood/policy/HostState.java
@@ -15,7 +15,7 @@
   final InFlightAttempts inFlight = new InFlightAttempts();
 
   /** The decision to send a request here: one object, so that no request allocates its own. */
-  final Decision.Send sendHere = new Decision.Send(this);
+  final Decision.Send sendDecision = new Decision.Send(this);
 
   private Endpoint endpoint;
   private @Nullable GroupState group;
@@ -33,7 +33,7 @@
   }
 
   /** Discovery lists the host, with the same id. */
-  void listed(Endpoint newEndpoint) {
+  void endpointListed(Endpoint newEndpoint) {
     endpoint = newEndpoint;
   }
 
--- a/router/src/main/java/rushwood/policy/InFlightAttempts.java
+++ b/router/src/main/java/rushwood/policy/InFlightAttempts.java
@@ -53,10 +53,10 @@
   }
 
   /** Counts an answer against every attempt in flight that was sent before the answered one. */
-  void countOvertaken(Attempt answered) {
+  void incrementOvertakenCounts(Attempt answered) {
     for (Attempt attempt : attempts) {
       if (attempt.sentAt < answered.sentAt) {
-        attempt.overtaken();
+        attempt.incrementOvertakenCount();
       }
     }
   }
--- a/router/src/main/java/rushwood/policy/LongReadPolicy.java
+++ b/router/src/main/java/rushwood/policy/LongReadPolicy.java
@@ -25,7 +25,7 @@
   /** Whether the read may be stale and is expected to take longer than other reads may be stale. */
   boolean isLong(PendingRequest pending) {
     return pending.requires(Consistency.EVENTUAL)
-        && serviceTimes.expected(pending) > freshness.minStalenessBoundNanos();
+        && serviceTimes.expectedNanos(pending) > freshness.minStalenessBoundNanos();
   }
 
   /** Whether the host is among the usable replicas of its group that take long reads. */
--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -58,7 +58,7 @@
   /** Counts an answer against the attempts that were sent to its host before it. */
   void answerReceived(Attempt answered, long now) {
     lossRatio -= lossRatio * LOSS_RATIO_SMOOTHING / ANSWER_WEIGHT_DIVISOR;
-    answered.host.inFlight.countOvertaken(answered);
+    answered.host.inFlight.incrementOvertakenCounts(answered);
     check(answered.host, now);
   }
 
@@ -70,29 +70,31 @@
     int certainLossCount = CERTAIN_LOSS_MULTIPLE * host.inFlight.size();
     int lossCount = lossRatio > HIGH_LOSS_RATIO ? PROBABLE_LOSS_COUNT : certainLossCount;
     for (Attempt attempt : host.inFlight) {
-      int threshold = attempt.isControl ? certainLossCount : lossCount;
-      if (isLate(attempt, now) && !attempt.isPresumedLost() && attempt.overtakenBy() >= threshold) {
-        boolean isCertain = attempt.overtakenBy() >= certainLossCount;
+      int threshold = attempt.isControlSample ? certainLossCount : lossCount;
+      if (isLate(attempt, now)
+          && !attempt.isPresumedLost()
+          && attempt.overtakenCount() >= threshold) {
+        boolean isCertain = attempt.overtakenCount() >= certainLossCount;
         lossRatio += isCertain ? (1 - lossRatio) * LOSS_RATIO_SMOOTHING : 0;
         host.inFlight.presumeLost(attempt);
       }
-      if (isBetterRetried(attempt, now) && !attempt.pending.isFinished()) {
+      if (shouldCancelForRetry(attempt, now) && !attempt.pending.isFinished()) {
         requests.cancelAttempt(attempt.pending);
       }
     }
   }
 
   private boolean isLate(Attempt attempt, long now) {
-    double expected = serviceTimes.expected(attempt.pending);
-    return now - attempt.sentAt > LATE_MULTIPLE * expected;
+    double expectedNanos = serviceTimes.expectedNanos(attempt.pending);
+    return now - attempt.sentAt > LATE_MULTIPLE * expectedNanos;
   }
 
   /** Lost with time left for a retry, or late at an unresponsive host; and safe to retry. */
-  private boolean isBetterRetried(Attempt attempt, long now) {
+  private boolean shouldCancelForRetry(Attempt attempt, long now) {
     PendingRequest pending = attempt.pending;
-    double retryEnd = now + serviceTimes.expected(pending);
-    boolean isLostInTime = attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline;
+    double retryEnd = now + serviceTimes.expectedNanos(pending);
+    boolean canRetryInTime = attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline;
     boolean isStuck = attempt.host.health.isUnresponsive() && isLate(attempt, now);
-    return (isLostInTime || isStuck) && RetryPolicy.canRetryAfterCancel(pending);
+    return (canRetryInTime || isStuck) && RetryPolicy.canRetryAfterCancel(pending);
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -129,7 +129,8 @@
   private double missingAnswers(HostState host, long now) {
     return host.inFlight.stream()
         .filter(attempt -> !attempt.isPresumedLost())
-        .mapToDouble(attempt -> attempt.silenceNanos(now) / serviceTimes.expected(attempt.pending))
+        .mapToDouble(
+            attempt -> attempt.hostSilenceNanos(now) / serviceTimes.expectedNanos(attempt.pending))
         .sum();
   }
 }
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -43,7 +43,7 @@
   }
 
   /** The time from arrival to the objective's deadline, in nanoseconds. */
-  double objectiveTime() {
+  double objectiveNanos() {
     return objectiveDeadline - arrivedAt;
   }
 
@@ -74,8 +74,8 @@
   }
 
   /** The request is sent to a host. */
-  Attempt startAttempt(HostState host, long now, boolean isControl) {
-    Attempt attempt = new Attempt(this, host, now, isControl);
+  Attempt startAttempt(HostState host, long now, boolean isControlSample) {
+    Attempt attempt = new Attempt(this, host, now, isControlSample);
     attempts.add(attempt);
     return attempt;
   }
@@ -103,11 +103,11 @@
   }
 
   boolean isPossiblyExecuted() {
-    return firstPossiblyExecuted() != null;
+    return firstPossiblyExecutedAttempt() != null;
   }
 
   /** The first attempt that may have been executed, if there is one. */
-  @Nullable Attempt firstPossiblyExecuted() {
+  @Nullable Attempt firstPossiblyExecutedAttempt() {
     for (Attempt attempt : attempts) {
       if (attempt.isPossiblyExecuted()) {
         return attempt;
@@ -118,13 +118,13 @@
 
   /** The number of attempts that were answered with an error. */
   long errorCount() {
-    return attempts.stream().filter(attempt -> attempt.endedAs(AttemptOutcome.ERROR)).count();
+    return attempts.stream().filter(attempt -> attempt.endedWith(AttemptOutcome.ERROR)).count();
   }
 
   /** The hosts that answered with an error. */
   List<HostState> hostsWithErrors() {
     return attempts.stream()
-        .filter(attempt -> attempt.endedAs(AttemptOutcome.ERROR))
+        .filter(attempt -> attempt.endedWith(AttemptOutcome.ERROR))
         .map(attempt -> attempt.host)
         .toList();
   }
--- a/router/src/main/java/rushwood/policy/PendingRequests.java
+++ b/router/src/main/java/rushwood/policy/PendingRequests.java
@@ -61,7 +61,7 @@
   void cancelAttempt(PendingRequest pending) {
     if (canCancel && pending.hasAttemptInFlight()) {
       Attempt attempt = pending.lastAttempt();
-      if (attempt.cancel()) {
+      if (attempt.markCancelled()) {
         actions.cancel(pending.request.id(), attempt.number);
       }
     }
--- a/router/src/main/java/rushwood/policy/QueuePolicy.java
+++ b/router/src/main/java/rushwood/policy/QueuePolicy.java
@@ -53,7 +53,7 @@
 
   /** The request of that queue that the host gets next, if it can take one. */
   @Nullable PendingRequest next(WaitQueue queue, HostState host, long now) {
-    if (queue.isEmpty() || !limiter.canTakeAny(host, now)) {
+    if (queue.isEmpty() || !limiter.canTakeAttempt(host, now)) {
       return null;
     }
     return queue.findFirst(
@@ -81,13 +81,13 @@
   /** The place of a waiting request in the order, the smallest first. */
   private long priority(PendingRequest pending, long now) {
     long deadline = pending.objectiveDeadline;
-    long order = isLate(pending, now) ? LATE_PRIORITY - deadline : deadline;
-    return order - pending.request.waitedNanos();
+    long basePriority = isLate(pending, now) ? LATE_PRIORITY - deadline : deadline;
+    return basePriority - pending.request.waitedNanos();
   }
 
   /** Whether an answer within the latency objective has become unlikely. */
   private boolean isLate(PendingRequest pending, long now) {
-    double expected = serviceTimes.expected(pending);
-    return now + expected * IN_TIME_MULTIPLE > pending.objectiveDeadline;
+    double expectedNanos = serviceTimes.expectedNanos(pending);
+    return now + expectedNanos * IN_TIME_MULTIPLE > pending.objectiveDeadline;
   }
 }
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -44,12 +44,12 @@
 
   /** The host for a read now, or why it waits. */
   Decision select(PendingRequest pending, long now) {
-    HostState drawn = longReads.isLong(pending) ? null : selectOfTwo(pending, now);
-    return drawn != null ? drawn.sendHere : selectOfAll(pending, now);
+    HostState drawn = longReads.isLong(pending) ? null : selectBestOfTwo(pending, now);
+    return drawn != null ? drawn.sendDecision : selectBestOfAll(pending, now);
   }
 
   /** The better of two replicas drawn by weight, if both are (likely to be) fresh and free. */
-  private @Nullable HostState selectOfTwo(PendingRequest pending, long now) {
+  private @Nullable HostState selectBestOfTwo(PendingRequest pending, long now) {
     List<HostState> replicas = pending.group.replicas();
     if (replicas.size() <= 2) {
       return null;
@@ -67,14 +67,15 @@
 
   /** Draws a host with a probability in proportion to its weight, and removes it from the list. */
   static HostState drawByWeight(List<HostState> candidates, RandomGenerator random) {
-    double point = 0;
+    double remainingWeight = 0;
     for (HostState host : candidates) {
-      point += host.endpoint().weight();
+      remainingWeight += host.endpoint().weight();
     }
-    point *= random.nextDouble();
+    remainingWeight *= random.nextDouble();
     int index = 0;
-    while (index < candidates.size() - 1 && point >= candidates.get(index).endpoint().weight()) {
-      point -= candidates.get(index).endpoint().weight();
+    while (index < candidates.size() - 1
+        && remainingWeight >= candidates.get(index).endpoint().weight()) {
+      remainingWeight -= candidates.get(index).endpoint().weight();
       index++;
     }
     return candidates.remove(index);
@@ -85,10 +86,10 @@
   }
 
   /** The best acceptable and free member; of equal ones the first from a random place on. */
-  private Decision selectOfAll(PendingRequest pending, long now) {
+  private Decision selectBestOfAll(PendingRequest pending, long now) {
     Suitability best = suitability.best(pending, now);
     if (best != Suitability.FRESH) {
-      healthChecks.checkHealthOfLeastRecentlyHeard(
+      healthChecks.checkReplicaWithOldestReport(
           pending.group, freshness.minStalenessBoundNanos(), now);
     }
     boolean isLong = longReads.isLong(pending);
@@ -103,7 +104,7 @@
       }
     }
     if (selected != null) {
-      return selected.sendHere;
+      return selected.sendDecision;
     }
     return best == Suitability.UNSUITABLE
         ? Decision.Wait.NO_SUITABLE_HOST
@@ -116,10 +117,10 @@
         && limiter.hasFreeSlot(pending, host, now);
   }
 
-  private boolean isBetter(PendingRequest pending, HostState host, HostState other, long now) {
+  private boolean isBetter(PendingRequest pending, HostState host, HostState current, long now) {
     int difference =
-        suitability.rate(pending, host, now).compareTo(suitability.rate(pending, other, now));
-    return difference < 0 || (difference == 0 && host.load() < other.load());
+        suitability.rate(pending, host, now).compareTo(suitability.rate(pending, current, now));
+    return difference < 0 || (difference == 0 && host.load() < current.load());
   }
 
   /**
--- a/router/src/main/java/rushwood/policy/ReplicationState.java
+++ b/router/src/main/java/rushwood/policy/ReplicationState.java
@@ -8,7 +8,7 @@
  */
 final class ReplicationState {
   private long position = Times.LONG_AGO;
-  private long positionHeardAt = Times.LONG_AGO;
+  private long positionReportedAt = Times.LONG_AGO;
   private long readRefusedAt = Times.LONG_AGO;
   private long writeRefusedAt = Times.LONG_AGO;
   private long roleKnownAt = Times.LONG_AGO;
@@ -19,15 +19,15 @@
   }
 
   /** When the position was last heard. */
-  long positionHeardAt() {
-    return positionHeardAt;
+  long positionReportedAt() {
+    return positionReportedAt;
   }
 
   /** Takes in a reported position. Positions never go back; one in the future cannot be true. */
   void recordPosition(long reported, long now) {
     if (reported <= now) {
       position = Math.max(position, reported);
-      positionHeardAt = now;
+      positionReportedAt = now;
     }
   }
 
--- a/router/src/main/java/rushwood/policy/RequestDecider.java
+++ b/router/src/main/java/rushwood/policy/RequestDecider.java
@@ -49,7 +49,7 @@
     if (deadlines.isExpired(pending, now)) {
       return end(pending, EndReason.EXPIRED);
     }
-    EndReason reason = retries.reasonAgainstAttempt(pending, now);
+    EndReason reason = retries.findEndReason(pending, now);
     if (reason != null) {
       return end(pending, reason);
     }
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -42,7 +42,7 @@
    * <p>The budget is asked before safety, so a retry that it denies may be one that was not allowed
    * anyway.
    */
-  @Nullable EndReason reasonAgainstAttempt(PendingRequest pending, long now) {
+  @Nullable EndReason findEndReason(PendingRequest pending, long now) {
     if (pending.attemptCount() >= maxAttempts) {
       return EndReason.ATTEMPTS_USED_UP;
     }
@@ -69,9 +69,9 @@
       return false;
     }
     Attempt last = pending.lastAttempt();
-    return !last.endedAs(AttemptOutcome.NOT_SENT)
-        && !last.endedAs(AttemptOutcome.CONNECT_FAILED)
-        && !last.endedAs(AttemptOutcome.REPLICA_LAGGING);
+    return !last.endedWith(AttemptOutcome.NOT_SENT)
+        && !last.endedWith(AttemptOutcome.CONNECT_FAILED)
+        && !last.endedWith(AttemptOutcome.REPLICA_LAGGING);
   }
 
   /** Whether the client may repeat the request without harm: it ran nowhere, or may run twice. */
@@ -88,7 +88,7 @@
     if (pending.isIdempotent()) {
       return true;
     }
-    Attempt first = pending.firstPossiblyExecuted();
+    Attempt first = pending.firstPossiblyExecutedAttempt();
     return first == null
         || (isSafe(pending, now)
             && pending.requestClass.keyScope().isShared(first.host.endpoint(), host.endpoint()));
@@ -103,7 +103,7 @@
     if (!pending.hasIdempotencyKey()) {
       return NO_DEADLINE;
     }
-    Attempt first = pending.firstPossiblyExecuted();
+    Attempt first = pending.firstPossiblyExecutedAttempt();
     if (first == null) {
       return NO_DEADLINE;
     }
--- a/router/src/main/java/rushwood/policy/ServiceTimes.java
+++ b/router/src/main/java/rushwood/policy/ServiceTimes.java
@@ -26,7 +26,7 @@
   }
 
   /** The expected service time of a request, in nanoseconds. */
-  double expected(PendingRequest pending) {
+  double expectedNanos(PendingRequest pending) {
     return averages[pending.requestClass.index()].value();
   }
 
--- a/router/src/main/java/rushwood/policy/SlowStart.java
+++ b/router/src/main/java/rushwood/policy/SlowStart.java
@@ -56,7 +56,7 @@
   }
 
   /** The share of a warm host's slots and work that this host may get, at most 1. */
-  double share(HostState host, long now) {
+  double loadShare(HostState host, long now) {
     return Math.min(1, capacityShare(host, now) * settings.collapseMultiple() * safeLoadShare);
   }
 
@@ -70,28 +70,28 @@
     if (isWarm(host, now)) {
       return true;
     }
-    double rate = share(host, now) * warmRate(host, now);
-    double expected = serviceTimes.expected(pending);
-    double window = settings.collapseWindowNanos();
-    double capacity = Math.max(expected, rate * window * BURST_SHARE);
+    double rate = loadShare(host, now) * warmHostWorkRate(host, now);
+    double expectedNanos = serviceTimes.expectedNanos(pending);
+    double windowNanos = settings.collapseWindowNanos();
+    double capacity = Math.max(expectedNanos, rate * windowNanos * BURST_SHARE);
     if (host.slowStart.hasTokensOfEarlierProcess()) {
       host.slowStart.tokens.reset(random.nextDouble() * capacity, now);
     }
     host.slowStart.tokens.refill(rate, capacity, now);
-    return host.slowStart.tokens.has(expected);
+    return host.slowStart.tokens.has(expectedNanos);
   }
 
   /**
    * The work that a warm host of this weight completes, in nanoseconds of work a nanosecond. With
    * none warm it is what the host's slots allow: a busy slot completes one.
    */
-  private double warmRate(HostState host, long now) {
+  private double warmHostWorkRate(HostState host, long now) {
     double rate = 0;
     double weight = 0;
-    for (HostState other : hosts.hosts()) {
-      if (other.hasGroup() && other.health.isHealthy() && isWarm(other, now)) {
-        rate += other.slowStart.completedWorkRate();
-        weight += other.endpoint().weight();
+    for (HostState candidate : hosts.hosts()) {
+      if (candidate.hasGroup() && candidate.health.isHealthy() && isWarm(candidate, now)) {
+        rate += candidate.slowStart.completedWorkRate();
+        weight += candidate.endpoint().weight();
       }
     }
     return weight > 0 ? host.endpoint().weight() * rate / weight : host.concurrency.limit();
@@ -99,12 +99,12 @@
 
   /** Charges an attempt to its host's budget. */
   void attemptSent(Attempt attempt) {
-    attempt.host.slowStart.tokens.take(serviceTimes.expected(attempt.pending));
+    attempt.host.slowStart.tokens.take(serviceTimes.expectedNanos(attempt.pending));
   }
 
   /** Counts a successful attempt as work that its host has completed. */
   void answerReceived(Attempt attempt) {
-    attempt.host.slowStart.recordCompletedWork(serviceTimes.expected(attempt.pending));
+    attempt.host.slowStart.recordCompletedWork(serviceTimes.expectedNanos(attempt.pending));
   }
 
   /** Updates the host's rate of completed work; called once a check interval. */
--- a/router/src/main/java/rushwood/policy/Suitability.java
+++ b/router/src/main/java/rushwood/policy/Suitability.java
@@ -15,7 +15,7 @@
   PRIMARY_FALLBACK,
   UNSUITABLE;
 
-  Suitability orBetter(Suitability other) {
+  Suitability betterOf(Suitability other) {
     return other.isAtLeast(this) ? other : this;
   }
 
--- a/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
+++ b/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
@@ -30,12 +30,12 @@
 
   private static final long MAX_CATCH_UP_NANOS = 20 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
-  private final boolean servesStale;
+  private final boolean servesStaleData;
   private final OutlierDetector outliers;
   private final LongReadPolicy longReads;
 
   SuitabilityPolicy(RoutingSettings settings, OutlierDetector outliers, LongReadPolicy longReads) {
-    servesStale = settings.laggingReadBehavior() == LaggingReadBehavior.SERVES;
+    servesStaleData = settings.laggingReadBehavior() == LaggingReadBehavior.SERVES;
     this.outliers = outliers;
     this.longReads = longReads;
   }
@@ -56,11 +56,11 @@
     if (lagNanos <= 0) {
       return Suitability.FRESH;
     }
-    if (servesStale || needsPrimary || hasRefusedLately(host, lagNanos, now)) {
+    if (servesStaleData || needsPrimary || hasRecentlyRefused(host, lagNanos, now)) {
       return Suitability.UNSUITABLE;
     }
     // Also true of a host that was never heard of: nothing speaks against it.
-    boolean isLikely = lagNanos <= now - host.replication.positionHeardAt();
+    boolean isLikely = lagNanos <= now - host.replication.positionReportedAt();
     return isLikely ? Suitability.LIKELY_FRESH : Suitability.LAGGING;
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Whether the host refused a read so lately that it cannot have caught up since. */
-  private static boolean hasRefusedLately(HostState host, long lagNanos, long now) {
+  private static boolean hasRecentlyRefused(HostState host, long lagNanos, long now) {
     long catchUpNanos = Math.min(MAX_CATCH_UP_NANOS, lagNanos / CATCH_UP_SPEED);
     return host.replication.readRefusedAt() > now - Math.max(MIN_CATCH_UP_NANOS, catchUpNanos);
   }
@@ -81,7 +81,7 @@
   Suitability best(PendingRequest pending, long now) {
     Suitability best = Suitability.UNSUITABLE;
     for (HostState host : pending.group.members()) {
-      best = best.orBetter(rate(pending, host, now));
+      best = best.betterOf(rate(pending, host, now));
     }
     return best;
   }
--- a/router/src/main/java/rushwood/policy/WriteSelector.java
+++ b/router/src/main/java/rushwood/policy/WriteSelector.java
@@ -35,7 +35,7 @@
     HostState primary = pending.group.primary();
     if (primary != null && outliers.isUsable(primary, now)) {
       boolean isFree = limiter.hasFreeSlot(pending, primary, now);
-      return isFree ? primary.sendHere : Decision.Wait.PRIMARY_HAS_NO_FREE_SLOT;
+      return isFree ? primary.sendDecision : Decision.Wait.PRIMARY_HAS_NO_FREE_SLOT;
     }
     return canDiscoverPrimary(pending)
         ? discoverPrimary(pending, now)
@@ -53,7 +53,7 @@
     for (HostState host : pending.group.members()) {
       if (isRoleUnknown(host, now) && !pending.avoids(host) && isFree(pending, host, now)) {
         pending.group.startPrimaryDiscovery(pending);
-        return host.sendHere;
+        return host.sendDecision;
       }
     }
     return Decision.Wait.PRIMARY_UNKNOWN;
--- a/router/src/test/java/rushwood/policy/AdjustableOverloadSignals.java
+++ b/router/src/test/java/rushwood/policy/AdjustableOverloadSignals.java
@@ -8,23 +8,23 @@
 
 /** The signals of a router without overload control, but for what a test sets. */
 final class AdjustableOverloadSignals implements OverloadSignals {
-  private final OverloadSignals others;
-  long answerDelay;
-  boolean mayConnect = true;
-  boolean mayRetry = true;
+  private final OverloadSignals defaults;
+  long answerDelayNanos;
+  boolean canConnect = true;
+  boolean canRetry = true;
 
   AdjustableOverloadSignals(RoutingSettings settings) {
-    others = OverloadSignals.withoutOverloadControl(settings);
+    defaults = OverloadSignals.withoutOverloadControl(settings);
   }
 
   @Override
   public long retryAfterNanos(long now, Request request, boolean othersWaiting) {
-    return others.retryAfterNanos(now, request, othersWaiting);
+    return defaults.retryAfterNanos(now, request, othersWaiting);
   }
 
   @Override
   public boolean canRetry(long now, GroupId group) {
-    return mayRetry;
+    return canRetry;
   }
 
   @Override
@@ -32,11 +32,11 @@
 
   @Override
   public boolean canConnect(long now, HostId host) {
-    return mayConnect;
+    return canConnect;
   }
 
   @Override
   public long answerDelayNanos() {
-    return answerDelay;
+    return answerDelayNanos;
   }
 }
--- a/router/src/test/java/rushwood/policy/AnswerDelayTest.java
+++ b/router/src/test/java/rushwood/policy/AnswerDelayTest.java
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void answersAMarginBeforeTheDeadlineWithoutDelay() {
+  void rejectsAtTimerMarginBeforeDeadlineWithoutDelay() {
     receive("r", 0);
     fireTimer(989);
     assertEquals(List.of(), rejected);
@@ -82,9 +82,9 @@
 
   /** The delay is seen only while the host has the request. */
   @Test
-  void answersEarlierByTwiceADelayThatBeginsLater() {
+  void rejectsEarlierByTwiceADelayThatStartsAfterArrival() {
     receive("r", 0);
-    signals.answerDelay = 100 * MILLISECOND;
+    signals.answerDelayNanos = 100 * MILLISECOND;
     fireTimer(700);
     assertEquals(List.of(), rejected);
     fireTimer(800);
@@ -92,10 +92,10 @@
   }
 
   @Test
-  void answersAsUsualOnceTheDelayIsOver() {
-    signals.answerDelay = 100 * MILLISECOND;
+  void rejectsAtTimerMarginOnceDelayIsOver() {
+    signals.answerDelayNanos = 100 * MILLISECOND;
     receive("r", 0);
-    signals.answerDelay = 0;
+    signals.answerDelayNanos = 0;
     fireTimer(980);
     assertEquals(List.of(), rejected);
     fireTimer(990);
@@ -103,16 +103,16 @@
   }
 
   @Test
-  void tellsTheHostTheTimeThatIsLeftWithoutTwiceTheDelay() {
-    signals.answerDelay = 150 * MILLISECOND;
+  void attemptTimeoutExcludesTwiceTheDelay() {
+    signals.answerDelayNanos = 150 * MILLISECOND;
     receive("r", 100);
     assertEquals(List.of(600L), timeoutsMillis);
   }
 
   /** A pause of seconds must not have every request rejected that comes after it. */
   @Test
-  void setsAsideFourTenthsOfASecondAtMost() {
-    signals.answerDelay = 5_000 * MILLISECOND;
+  void reservesAtMost400Milliseconds() {
+    signals.answerDelayNanos = 5_000 * MILLISECOND;
     receive("r", 100);
     assertEquals(List.of(500L), timeoutsMillis);
   }
--- a/router/src/test/java/rushwood/policy/ConnectPauseTest.java
+++ b/router/src/test/java/rushwood/policy/ConnectPauseTest.java
@@ -84,22 +84,22 @@
 
   /** One attempt shows that no connection may be opened: the others are not used up as well. */
   @Test
-  void othersWaitAfterAnAttemptThatMayNotConnect() {
-    signals.mayConnect = false;
+  void requestsWaitOnceAnAttemptMayNotConnect() {
+    signals.canConnect = false;
     receive("r1", 0);
     finish("r1", AttemptOutcome.NOT_SENT, 1);
     receive("r2", 1);
     receive("r3", 2);
     assertEquals(List.of("r1"), sent);
-    signals.mayConnect = true;
+    signals.canConnect = true;
     policy.timerFired(100 * MILLISECOND);
     assertEquals(List.of("r1", "r2", "r3", "r1"), sent, "r1 too, once it avoids no host");
   }
 
   @Test
-  void anAnswerOfTheHostEndsThePause() {
+  void answerFromHostEndsPause() {
     receive("r0", 0);
-    signals.mayConnect = false;
+    signals.canConnect = false;
     receive("r1", 0);
     finish("r1", AttemptOutcome.NOT_SENT, 1);
     receive("r2", 1);
@@ -110,7 +110,7 @@
 
   /** An idle connection that the host had closed says nothing of the next one. */
   @Test
-  void anotherReasonPausesNothing() {
+  void hostIsNotPausedWhileConnectsAreAllowed() {
     receive("r1", 0);
     finish("r1", AttemptOutcome.NOT_SENT, 1);
     receive("r2", 1);
--- a/router/src/test/java/rushwood/policy/DeadlineQueueTest.java
+++ b/router/src/test/java/rushwood/policy/DeadlineQueueTest.java
@@ -23,7 +23,7 @@
   private final PendingRequest second = PolicyFixtures.pendingRead("second");
 
   @Test
-  void returnsExpiredRequestsInOrderOfDeadlineThenOfEntry() {
+  void returnsExpiredRequestsInOrderOfDeadlineThenInsertion() {
     PendingRequest third = PolicyFixtures.pendingRead("third");
     queue.add(20, first);
     queue.add(10, second);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void passesOverFinishedRequests() {
+  void skipsFinishedRequests() {
     queue.add(10, first);
     queue.add(20, second);
     first.finish();
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void asksForATimerOnlyWhereItIsEarlier() {
+  void requestsTimerOnlyIfEarlier() {
     queue.add(20, first);
     queue.add(30, second);
     queue.requestTimer(10);
--- a/router/src/test/java/rushwood/policy/DefaultRoutingPolicyTest.java
+++ b/router/src/test/java/rushwood/policy/DefaultRoutingPolicyTest.java
@@ -23,16 +23,16 @@
           RoutingSettings.builder().build(), new SplittableRandom(1), new NoPolicyActions());
 
   @Test
-  void refusesTheHealthCheckOfAnUnknownHost() {
-    var refusal =
+  void throwsForHealthCheckOfUnknownHost() {
+    var exception =
         assertThrows(
             IllegalArgumentException.class,
             () -> policy.healthCheckFinished(0, HOST, true, LoadReport.NONE));
-    assertEquals("unknown host a", refusal.getMessage());
+    assertEquals("unknown host a", exception.getMessage());
   }
 
   @Test
-  void refusesTheResultOfAnUnknownAttempt() {
+  void throwsForResultOfUnknownAttempt() {
     AttemptResult result =
         new AttemptResult(
             new RequestId("r"),
@@ -44,8 +44,8 @@
             HostRole.UNKNOWN,
             AttemptResult.NO_POSITION,
             LoadReport.NONE);
-    var refusal =
+    var exception =
         assertThrows(IllegalArgumentException.class, () -> policy.attemptFinished(0, result));
-    assertEquals("unknown attempt 0 of r", refusal.getMessage());
+    assertEquals("unknown attempt 0 of r", exception.getMessage());
   }
 }
--- a/router/src/test/java/rushwood/policy/GroupStateTest.java
+++ b/router/src/test/java/rushwood/policy/GroupStateTest.java
@@ -8,7 +8,7 @@
 
 class GroupStateTest {
   @Test
-  void keepsMembersInOrderOfIdAndForgetsAPrimaryThatLeaves() {
+  void sortsMembersByIdAndClearsPrimaryThatLeaves() {
     GroupState group = new GroupState();
     HostState second = PolicyFixtures.host("b", 1);
     HostState first = PolicyFixtures.host("a", 1);
--- a/router/src/test/java/rushwood/policy/InFlightAttemptsTest.java
+++ b/router/src/test/java/rushwood/policy/InFlightAttemptsTest.java
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void presumedLostAttemptsOccupyNoSlotAndGiveNoneBackWhenTheyEnd() {
+  void attemptPresumedLostFreesItsSlotOnlyOnce() {
     Attempt lost = send(1);
     Attempt other = send(2);
     attempts.presumeLost(lost);
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void removingAnAttemptTwiceHasNoEffect() {
+  void removingAttemptTwiceHasNoFurtherEffect() {
     Attempt lost = send(1);
     send(2);
     attempts.presumeLost(lost);
@@ -40,15 +40,15 @@
   }
 
   @Test
-  void anAnswerOvertakesOnlyWhatWasSentBeforeIt() {
+  void answerOvertakesOnlyEarlierAttempts() {
     Attempt earlier = send(1);
     Attempt answered = send(2);
     Attempt atTheSameTime = send(2);
     Attempt later = send(3);
-    attempts.countOvertaken(answered);
-    assertEquals(1, earlier.overtakenBy());
-    assertEquals(0, answered.overtakenBy());
-    assertEquals(0, atTheSameTime.overtakenBy());
-    assertEquals(0, later.overtakenBy());
+    attempts.incrementOvertakenCounts(answered);
+    assertEquals(1, earlier.overtakenCount());
+    assertEquals(0, answered.overtakenCount());
+    assertEquals(0, atTheSameTime.overtakenCount());
+    assertEquals(0, later.overtakenCount());
   }
 }
--- a/router/src/test/java/rushwood/policy/PolicyFilesTest.java
+++ b/router/src/test/java/rushwood/policy/PolicyFilesTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void noLineIsLongerThanAllowed() throws IOException {
+  void noLineExceedsMaxColumns() throws IOException {
     for (Path file : policyFiles()) {
       for (String line : Files.readAllLines(file)) {
         assertTrue(line.length() <= MAX_COLUMNS, file + ": " + line);
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void eachFileExistsAndItsTypeSaysWhatItDecides() throws IOException {
+  void eachFileExistsAndItsTypeHasJavadoc() throws IOException {
     List<String> missing = new ArrayList<>();
     for (Path file : policyFiles()) {
       String type = file.getFileName().toString().replace(".java", "");
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void typesThatDecideAreListed() throws IOException {
+  void decidingTypesAreListed() throws IOException {
     List<String> found = new ArrayList<>();
     for (Path file : otherFiles()) {
       if (DECIDING_TYPE.matcher(file.getFileName().toString()).matches()) {
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void otherFilesOfThePackageHoldNoTunedValue() throws IOException {
+  void otherFilesContainNoNumericConstants() throws IOException {
     List<String> found = new ArrayList<>();
     for (Path file : otherFiles()) {
       String code = COMMENT_OR_TEXT.matcher(Files.readString(file)).replaceAll("");
--- a/router/src/test/java/rushwood/policy/ReplicaSelectorTest.java
+++ b/router/src/test/java/rushwood/policy/ReplicaSelectorTest.java
@@ -11,7 +11,7 @@
 
 class ReplicaSelectorTest {
   @Test
-  void drawsHostsInProportionToTheirWeights() {
+  void drawsHostsInProportionToWeight() {
     HostState light = PolicyFixtures.host("a", 1);
     HostState heavy = PolicyFixtures.host("b", 3);
     SplittableRandom random = new SplittableRandom(1);
--- a/router/src/test/java/rushwood/policy/ReplicationStateTest.java
+++ b/router/src/test/java/rushwood/policy/ReplicationStateTest.java
@@ -10,11 +10,11 @@
   private final ReplicationState replication = new ReplicationState();
 
   @Test
-  void positionNeverGoesBackButTheReportStillCountsAsHeard() {
+  void positionNeverGoesBackButReportTimeAdvances() {
     replication.recordPosition(50, 60);
     replication.recordPosition(40, 70);
     assertEquals(50, replication.position());
-    assertEquals(70, replication.positionHeardAt());
+    assertEquals(70, replication.positionReportedAt());
   }
 
   @Test
@@ -22,11 +22,11 @@
     replication.recordPosition(50, 60);
     replication.recordPosition(71, 70);
     assertEquals(50, replication.position());
-    assertEquals(60, replication.positionHeardAt());
+    assertEquals(60, replication.positionReportedAt());
   }
 
   @Test
-  void roleIsKnownFromTheLatestEvidence() {
+  void roleIsKnownFromLatestEvidence() {
     assertFalse(replication.isRoleKnown());
     replication.recordRoleEvidence(50);
     replication.recordRoleEvidence(40);
--- a/router/src/test/java/rushwood/policy/RequestDeciderTest.java
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -99,28 +99,28 @@
   }
 
   @Test
-  void sendsAReadToAReplicaAndAWriteToThePrimary() {
+  void sendsReadToReplicaAndWriteToPrimary() {
     HostState primary = list("a", true);
     HostState replica = list("b", false);
-    assertSame(replica.sendHere, decide(request(READ)));
-    assertSame(primary.sendHere, decide(request(WRITE)));
+    assertSame(replica.sendDecision, decide(request(READ)));
+    assertSame(primary.sendDecision, decide(request(WRITE)));
   }
 
   @Test
-  void aWriteWaitsForASlotOfThePrimary() {
+  void writeWaitsForFreeSlotOfPrimary() {
     fillSlots(list("a", true));
     assertSame(Decision.Wait.PRIMARY_HAS_NO_FREE_SLOT, decide(request(WRITE)));
   }
 
   @Test
-  void aWriteWaitsWhileAnotherOneLooksForThePrimary() {
+  void writeWaitsWhileAnotherDiscoversPrimary() {
     HostState host = list("a", false);
-    assertSame(host.sendHere, decide(request(WRITE)));
+    assertSame(host.sendDecision, decide(request(WRITE)));
     assertSame(Decision.Wait.PRIMARY_UNKNOWN, decide(request(WRITE)));
   }
 
   @Test
-  void aReadWaitsForASlotOrForASuitableHost() {
+  void readWaitsForFreeSlotOrSuitableHost() {
     assertSame(Decision.Wait.NO_SUITABLE_HOST, decide(request(READ)));
     HostState replica = list("a", false);
     fillSlots(replica);
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void endsARequestWhoseAnswerDeadlineHasCome() {
+  void rejectsRequestAtAnswerDeadline() {
     list("a", true);
     PendingRequest pending = request(WRITE);
     assertInstanceOf(
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void endsARequestThatHasHadAllAttempts() {
+  void rejectsRequestAfterMaxAttempts() {
     HostState host = list("a", true);
     PendingRequest pending = request(READ);
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void endsARequestAfterTwoErrors() {
+  void rejectsRequestAfterTwoErrors() {
     list("a", true);
     HostState replica = list("b", false);
     PendingRequest pending = attempted(request(READ), replica, AttemptOutcome.ERROR);
@@ -163,9 +163,9 @@
   }
 
   @Test
-  void endsACostlyRetryThatTheBudgetDoesNotAllow() {
+  void endsRequestWhoseCostlyRetryExceedsBudget() {
     HostState host = list("a", false);
-    signals.mayRetry = false;
+    signals.canRetry = false;
     assertInstanceOf(
         Decision.Send.class, decide(attempted(request(READ), host, AttemptOutcome.NOT_SENT)));
     assertEquals(
@@ -177,7 +177,7 @@
   }
 
   @Test
-  void failsANonIdempotentRequestThatMayHaveRun() {
+  void failsNonIdempotentRequestThatMayHaveRun() {
     HostState host = list("a", true);
     assertInstanceOf(
         Decision.Send.class, decide(attempted(request(WRITE), host, AttemptOutcome.OVERLOADED)));
@@ -187,7 +187,7 @@
   }
 
   @Test
-  void failsAKeyedRequestThatMayHaveRunOnceItsWindowIsNearlyOver() {
+  void failsKeyedRequestThatMayHaveRunNearEndOfWindow() {
     HostState host = list("a", true);
     PendingRequest pending = attempted(request(KEYED_WRITE), host, AttemptOutcome.CONNECTION_LOST);
     long retryDeadline = NOW + IDEMPOTENCY_WINDOW / 10 * 9;
--- a/router/src/test/java/rushwood/policy/ScenarioPlayer.java
+++ b/router/src/test/java/rushwood/policy/ScenarioPlayer.java
@@ -68,8 +68,8 @@
   private final TreeSet<Long> timers = new TreeSet<>();
   private RoutingPolicy policy;
   private long now = START_TIME;
-  private int expectedUntil;
-  private int countedFrom;
+  private int firstUnmatchedAction;
+  private int markedAction;
 
   private static Map<String, String> defaultSettings() {
     Map<String, String> settings = new HashMap<>();
@@ -98,11 +98,11 @@
       case "health-check-result" -> finishHealthCheck(command);
       case "shutdown" -> policy().shuttingDown(now, START_TIME + nanos(command.word(1)));
       case "disconnect" -> policy().clientDisconnected(now, new RequestId(command.word(1)));
-      case "mark" -> countedFrom = actions.size();
+      case "mark" -> markedAction = actions.size();
       case "expect" -> expect(command);
       case "never" -> expectNone(command);
       case "count" -> expectCount(command);
-      default -> Assertions.fail(command.source() + ": unknown word " + command.name());
+      default -> Assertions.fail(command.source() + ": unknown command " + command.name());
     }
   }
 
@@ -240,36 +240,36 @@
   }
 
   private void expect(Command command) {
-    for (int i = expectedUntil; i < actions.size(); i++) {
+    for (int i = firstUnmatchedAction; i < actions.size(); i++) {
       if (matches(command, 1, actions.get(i))) {
-        expectedUntil = i + 1;
+        firstUnmatchedAction = i + 1;
         return;
       }
     }
-    Assertions.fail(command.source() + ": no " + command + " in " + actionsSinceExpected());
+    Assertions.fail(command.source() + ": no " + command + " in " + unmatchedActions());
   }
 
   private void expectNone(Command command) {
-    if (actionsSinceExpected().stream().anyMatch(line -> matches(command, 1, line))) {
-      Assertions.fail(command.source() + ": " + command + " in " + actionsSinceExpected());
+    if (unmatchedActions().stream().anyMatch(line -> matches(command, 1, line))) {
+      Assertions.fail(command.source() + ": " + command + " in " + unmatchedActions());
     }
   }
 
-  private List<String> actionsSinceExpected() {
-    return actions.subList(expectedUntil, actions.size());
+  private List<String> unmatchedActions() {
+    return actions.subList(firstUnmatchedAction, actions.size());
   }
 
   private void expectCount(Command command) {
     long found =
-        actions.stream().skip(countedFrom).filter(line -> matches(command, 2, line)).count();
+        actions.stream().skip(markedAction).filter(line -> matches(command, 2, line)).count();
     if (found != Long.parseLong(command.word(1))) {
       Assertions.fail(command.source() + ": " + found + " of " + command + " in " + actions);
     }
   }
 
   /** Whether the words of the command from that index on match the beginning of the line. */
-  private static boolean matches(Command command, int from, String line) {
-    List<String> pattern = command.words().subList(from, command.words().size());
+  private static boolean matches(Command command, int patternStart, String line) {
+    List<String> pattern = command.words().subList(patternStart, command.words().size());
     String[] words = line.split(" ");
     for (int i = 0; i < pattern.size(); i++) {
       boolean isAny = pattern.get(i).equals("*");
--- a/router/src/test/java/rushwood/policy/ScenarioScript.java
+++ b/router/src/test/java/rushwood/policy/ScenarioScript.java
@@ -25,19 +25,19 @@
       return words.get(index);
     }
 
-    /** The word after that key, or {@code absent} if the command does not have the key. */
-    String operand(String key, String absent) {
+    /** The word after that key, or {@code defaultValue} if the command does not have the key. */
+    String operand(String key, String defaultValue) {
       int index = words.subList(1, words.size()).indexOf(key);
-      return index < 0 || index + 2 >= words.size() ? absent : words.get(index + 2);
+      return index < 0 || index + 2 >= words.size() ? defaultValue : words.get(index + 2);
     }
 
-    private Command replace(String variable, int number) {
+    private Command substitute(String variable, int number) {
       String value = Integer.toString(number);
       return new Command(
           words.stream().map(word -> word.replace("$" + variable, value)).toList(), source);
     }
 
-    private Command later(double millis) {
+    private Command delayedBy(double millis) {
       return new Command(
           List.of("at", Double.toString(Double.parseDouble(words.get(1)) + millis)), source);
     }
@@ -99,8 +99,8 @@
     List<Command> commands = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       for (Command command : block) {
-        Command moved = command.name().equals("at") ? command.later(i * step) : command;
-        commands.add(moved.replace(repeat.word(3), i));
+        Command shifted = command.name().equals("at") ? command.delayedBy(i * step) : command;
+        commands.add(shifted.substitute(repeat.word(3), i));
       }
     }
     return commands;
--- a/router/src/test/java/rushwood/policy/ScenarioScriptTest.java
+++ b/router/src/test/java/rushwood/policy/ScenarioScriptTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void passesOverCommentsAndNamesTheLineOfACommand() throws IOException {
+  void skipsCommentsAndRecordsSourceLine() throws IOException {
     Command command = read("# comment", "", "request x read deadline 300").get(0);
     assertEquals("scenario.txt:3", command.source());
     assertEquals("300", command.operand("deadline", "none"));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void repeatsABlockWithLaterTimesAndNumbers() throws IOException {
+  void repeatShiftsTimesAndSubstitutesVariable() throws IOException {
     List<Command> commands =
         read("repeat 2 100 i", "repeat 2 1 j", "at 10", "request r$i-$j read", "end", "end");
     assertEquals(
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void refusesARepeatWithoutEnd() {
+  void rejectsRepeatWithoutEnd() {
     assertThrows(IllegalArgumentException.class, () -> read("repeat 2 100 i", "at 10"));
   }
 }
--- a/router/src/test/java/rushwood/policy/SessionWritesTest.java
+++ b/router/src/test/java/rushwood/policy/SessionWritesTest.java
@@ -9,7 +9,7 @@
   private final SessionWrites writes = new SessionWrites(2);
 
   @Test
-  void remembersTheLastCommitOfEachSession() {
+  void remembersLastCommitOfEachSession() {
     writes.recordCommit(new SessionId("a"), 5);
     writes.recordCommit(new SessionId("a"), 7);
     assertEquals(7, writes.lastCommit(new SessionId("a")));
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void forgottenSessionsAreHeldToTheLatestForgottenCommit() {
+  void forgottenSessionGetsLatestForgottenCommit() {
     writes.recordCommit(new SessionId("a"), 9);
     writes.recordCommit(new SessionId("b"), 4);
     writes.recordCommit(new SessionId("c"), 10);
--- a/router/src/test/java/rushwood/policy/SlowStartSimulation.java
+++ b/router/src/test/java/rushwood/policy/SlowStartSimulation.java
@@ -40,17 +40,17 @@
     ALL_START
   }
 
-  private record Event(long time, long order, Runnable task) {}
+  private record Event(long time, long sequenceNumber, Runnable task) {}
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final long START_TIME = 1_000_000_000 * NANOS_PER_MILLI;
 
   /** By then the host bears several times as much as at first. */
-  private static final long DURATION = 8_000 * NANOS_PER_MILLI;
+  private static final long DURATION_NANOS = 8_000 * NANOS_PER_MILLI;
 
-  private static final long LEAD_TIME = 3_000 * NANOS_PER_MILLI;
-  private static final long CHANGE_TIME = 2_500 * NANOS_PER_MILLI;
-  private static final long REQUEST_TIMEOUT = 1_500 * NANOS_PER_MILLI;
+  private static final long LEAD_TIME_NANOS = 3_000 * NANOS_PER_MILLI;
+  private static final long CHANGE_DELAY_NANOS = 2_500 * NANOS_PER_MILLI;
+  private static final long REQUEST_TIMEOUT_NANOS = 1_500 * NANOS_PER_MILLI;
   private static final int HOST_COUNT = 4;
   private static final HostId PRIMARY = new HostId("h0");
   private static final HostId COLD_HOST = new HostId("h3");
@@ -62,19 +62,20 @@
   private final Situation situation;
   private final RoutingSettings settings;
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::time).thenComparingLong(Event::order));
+      new PriorityQueue<>(
+          Comparator.comparingLong(Event::time).thenComparingLong(Event::sequenceNumber));
   private final Map<HostId, Host> hosts = new TreeMap<>(Comparator.comparing(HostId::value));
   private final List<Long> attemptsAtColdHost = new ArrayList<>();
   private final int slots;
-  private final long serviceTime;
+  private final long meanServiceTimeNanos;
   private long now = START_TIME;
-  private long nextOrder;
+  private long nextSequenceNumber;
 
   SlowStartSimulation(long seed, int routerCount, Situation situation) {
     random = new SplittableRandom(seed);
     this.situation = situation;
     slots = 2 + random.nextInt(4);
-    serviceTime = (30 + random.nextInt(50)) * NANOS_PER_MILLI;
+    meanServiceTimeNanos = (30 + random.nextInt(50)) * NANOS_PER_MILLI;
     settings = drawSettings(routerCount);
     for (int i = 0; i < HOST_COUNT; i++) {
       HostId id = new HostId("h" + i);
@@ -114,7 +115,7 @@
       totalShare += router.trafficShare;
     }
     double requestsPerSecond =
-        (0.4 + 0.3 * random.nextDouble()) * HOST_COUNT * slots * 1e9 / serviceTime;
+        (0.4 + 0.3 * random.nextDouble()) * HOST_COUNT * slots * 1e9 / meanServiceTimeNanos;
     for (Router router : routers) {
       router.start((long) (1e9 * totalShare / (requestsPerSecond * router.trafficShare)));
     }
@@ -123,10 +124,10 @@
   void run() {
     if (situation == Situation.OTHER_HOSTS_FAIL) {
       schedule(
-          START_TIME + CHANGE_TIME,
-          () -> hosts.forEach((id, host) -> host.isDead = !id.equals(COLD_HOST)));
+          START_TIME + CHANGE_DELAY_NANOS,
+          () -> hosts.forEach((id, host) -> host.isDown = !id.equals(COLD_HOST)));
     }
-    while (events.peek().time < START_TIME + DURATION) {
+    while (events.peek().time < START_TIME + DURATION_NANOS) {
       Event next = events.poll();
       now = next.time;
       next.task.run();
@@ -142,7 +143,7 @@
    * attempts of mean work, and 2 x root of N + 2 for chance. Negative if no window did.
    */
   double maxExcess() {
-    double worst = Double.NEGATIVE_INFINITY;
+    double maxExcess = Double.NEGATIVE_INFINITY;
     Deque<Long> window = new ArrayDeque<>();
     for (long sentAt : attemptsAtColdHost) {
       window.add(sentAt);
@@ -150,9 +151,9 @@
         window.poll();
       }
       double capacity = capacity(window.peek());
-      worst = Math.max(worst, window.size() - capacity - 2 * Math.sqrt(capacity) - 2);
+      maxExcess = Math.max(maxExcess, window.size() - capacity - 2 * Math.sqrt(capacity) - 2);
     }
-    return worst;
+    return maxExcess;
   }
 
   /** The attempts that the cold host bears in a collapse window when it has just started. */
@@ -165,7 +166,7 @@
         * coldShare(time)
         * settings.collapseWindowNanos()
         * slots
-        / serviceTime;
+        / meanServiceTimeNanos;
   }
 
   /** The share of its capacity that the cold host has at the least. */
@@ -177,11 +178,11 @@
   private boolean isQuiet() {
     return situation == Situation.QUIET_THEN_BURST
         && now > START_TIME - 1000 * NANOS_PER_MILLI
-        && now < START_TIME + CHANGE_TIME;
+        && now < START_TIME + CHANGE_DELAY_NANOS;
   }
 
   private void schedule(long time, Runnable task) {
-    events.add(new Event(Math.max(time, now), nextOrder++, task));
+    events.add(new Event(Math.max(time, now), nextSequenceNumber++, task));
   }
 
   /** A number drawn from the exponential distribution with mean 1. */
@@ -192,7 +193,7 @@
   private final class Host {
     final boolean isCold;
     private final PriorityQueue<Long> slotsFreeAt = new PriorityQueue<>();
-    boolean isDead;
+    boolean isDown;
 
     Host(boolean isCold) {
       this.isCold = isCold;
@@ -203,7 +204,7 @@
 
     /** Serves a request in the slot that is free first; returns when it is done. */
     long serve() {
-      double duration = drawExponential() * serviceTime / (isCold ? coldShare(now) : 1);
+      double duration = drawExponential() * meanServiceTimeNanos / (isCold ? coldShare(now) : 1);
       long doneAt = Math.max(now, slotsFreeAt.poll()) + (long) duration;
       slotsFreeAt.add(doneAt);
       return doneAt;
@@ -215,7 +216,7 @@
     private final int number;
     private final double trafficShare;
     private final Map<RequestId, Integer> attemptCounts = new HashMap<>();
-    private long requestInterval;
+    private long meanRequestIntervalNanos;
     private DefaultRoutingPolicy policy;
     private long timerAt;
     private int requestCount;
@@ -226,19 +227,19 @@
     }
 
     /** Starts with the cold host, or before and hears of the cold host when it starts. */
-    void start(long requestInterval) {
-      this.requestInterval = requestInterval;
+    void start(long meanRequestIntervalNanos) {
+      this.meanRequestIntervalNanos = meanRequestIntervalNanos;
       if (situation == Situation.ROUTERS_START || situation == Situation.ALL_START) {
         schedule(START_TIME, this::startPolicy);
         return;
       }
-      schedule(START_TIME - LEAD_TIME, this::startPolicy);
+      schedule(START_TIME - LEAD_TIME_NANOS, this::startPolicy);
       List<Endpoint> change = List.of(endpoint(COLD_HOST, true));
       schedule(START_TIME, () -> policy.endpointsUpdated(now, change));
     }
 
     private void startPolicy() {
-      SplittableRandom policyRandom = new SplittableRandom(number * 7919L + nextOrder);
+      SplittableRandom policyRandom = new SplittableRandom(number * 7919L + nextSequenceNumber);
       policy = new DefaultRoutingPolicy(settings, policyRandom, this);
       List<Endpoint> endpoints = new ArrayList<>();
       hosts.forEach(
@@ -264,12 +265,12 @@
 
     private void scheduleNextRequest() {
       schedule(
-          now + (long) (drawExponential() * requestInterval),
+          now + (long) (drawExponential() * meanRequestIntervalNanos),
           () -> {
             if (!isQuiet()) {
               RequestId id = new RequestId(number + "-" + requestCount++);
               policy.requestReceived(
-                  now, new Request(id, READ, null, GROUP, now + REQUEST_TIMEOUT, 0));
+                  now, new Request(id, READ, null, GROUP, now + REQUEST_TIMEOUT_NANOS, 0));
             }
             scheduleNextRequest();
           });
@@ -283,10 +284,10 @@
       }
       Host host = hosts.get(id);
       long sentAt = now;
-      long doneAt = host.isDead ? sentAt + NANOS_PER_MILLI : host.serve();
+      long doneAt = host.isDown ? sentAt + NANOS_PER_MILLI : host.serve();
       boolean timesOut = doneAt > sentAt + timeoutNanos;
       AttemptOutcome servedOutcome = timesOut ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCESS;
-      AttemptOutcome outcome = host.isDead ? AttemptOutcome.CONNECT_FAILED : servedOutcome;
+      AttemptOutcome outcome = host.isDown ? AttemptOutcome.CONNECT_FAILED : servedOutcome;
       schedule(
           timesOut ? sentAt + timeoutNanos : doneAt,
           () ->
@@ -308,7 +309,7 @@
     public void checkHealth(HostId host) {
       schedule(
           now + NANOS_PER_MILLI,
-          () -> policy.healthCheckFinished(now, host, !hosts.get(host).isDead, LoadReport.NONE));
+          () -> policy.healthCheckFinished(now, host, !hosts.get(host).isDown, LoadReport.NONE));
     }
 
     @Override
--- a/router/src/test/java/rushwood/policy/SlowStartStateTest.java
+++ b/router/src/test/java/rushwood/policy/SlowStartStateTest.java
@@ -10,14 +10,14 @@
   private final SlowStartState slowStart = new SlowStartState();
 
   @Test
-  void hostWithoutAStartTimeStartedLongAgo() {
+  void hostWithoutStartTimeStartedLongAgo() {
     assertEquals(Long.MAX_VALUE, slowStart.ageNanos(100));
     slowStart.processStarted(60);
     assertEquals(40, slowStart.ageNanos(100));
   }
 
   @Test
-  void tokensBelongToTheProcessDuringWhichTheyWereRefilled() {
+  void detectsTokensOfEarlierProcess() {
     assertFalse(slowStart.hasTokensOfEarlierProcess());
     slowStart.processStarted(60);
     assertTrue(slowStart.hasTokensOfEarlierProcess());
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void workRateIsSmoothedAndEachWorkCountsOnce() {
+  void workRateIsSmoothedAndCountsWorkOnce() {
     slowStart.recordCompletedWork(30);
     slowStart.recordCompletedWork(10);
     slowStart.updateWorkRate(10, 0.5);
--- a/router/src/test/java/rushwood/policy/SlowStartTest.java
+++ b/router/src/test/java/rushwood/policy/SlowStartTest.java
@@ -13,7 +13,7 @@
   private static final int[] ROUTER_COUNTS = {1, 5, 30, 120};
 
   @Test
-  void attemptsOfAllRoutersAtAColdHostStayWithinItsCapacity() {
+  void attemptsOfAllRoutersStayWithinCapacityOfColdHost() {
     List<String> exceeded = new ArrayList<>();
     long attemptsAtColdHosts = 0;
     int runs = 0;
--- a/router/src/test/java/rushwood/policy/TokenBucketTest.java
+++ b/router/src/test/java/rushwood/policy/TokenBucketTest.java
@@ -10,7 +10,7 @@
   private final TokenBucket bucket = new TokenBucket();
 
   @Test
-  void refillsByTimeUpToItsCapacity() {
+  void refillsOverTimeUpToCapacity() {
     bucket.reset(0, 100);
     bucket.refill(0.5, 3, 104);
     assertTrue(bucket.has(2));
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void debtIsPaidBackFirst() {
+  void negativeBalanceIsRepaidFirst() {
     bucket.add(1, 10);
     bucket.take(3);
     bucket.add(2, 10);
--- a/router/src/test/java/rushwood/policy/WaitQueueTest.java
+++ b/router/src/test/java/rushwood/policy/WaitQueueTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void findsTheSmallestPriorityValueAndTheEarliestOfEqualOnes() {
+  void findsSmallestPriorityAndFirstAddedOfEqualOnes() {
     addAll();
     Map<PendingRequest, Long> priorities = Map.of(first, 5L, second, 3L, third, 3L);
     assertSame(second, queue.findFirst(priorities::get, each -> true));
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void testsEligibilityOnlyWhereThePriorityIsBetter() {
+  void testsEligibilityOnlyOfBetterPriorities() {
     addAll();
     Map<PendingRequest, Long> priorities = Map.of(first, 3L, second, 5L, third, 1L);
     List<PendingRequest> tested = new ArrayList<>();
