--- a/router/src/main/java/rushwood/policy/Attempt.java
+++ b/router/src/main/java/rushwood/policy/Attempt.java
@@ -3,17 +3,20 @@
 import org.jspecify.annotations.Nullable;
 import rushwood.api.AttemptOutcome;
 
-/** One try at serving a request on one host. */
+/** One attempt to serve a request on one host. Times are clock times in nanoseconds. */
 final class Attempt {
   final PendingRequest pending;
 
-  /** Counts the request's attempts from 0. */
+  /** The index of this attempt among those of its request, from 0. */
   final int number;
 
   final HostState host;
   final long sentAt;
 
-  /** Whether this attempt is a control sample: presumed lost only when that is certain. */
+  /**
+   * Whether this attempt belongs to the control sample of {@link LostAnswerDetector}, which
+   * presumes it lost only once its loss is certain.
+   */
   final boolean isControlSample;
 
   private @Nullable AttemptOutcome outcome;
@@ -21,7 +24,7 @@
   private int overtakenCount;
   private boolean presumedLost;
 
-  /** Creates the next attempt of a request, in flight from now on. */
+  /** Creates the next attempt of a request; it is in flight until {@link #end} is called. */
   Attempt(PendingRequest pending, HostState host, long sentAt, boolean isControlSample) {
     this.pending = pending;
     this.number = pending.attemptCount();
@@ -30,7 +33,7 @@
     this.isControlSample = isControlSample;
   }
 
-  /** The attempt has ended. */
+  /** Records the outcome of the attempt, which is no longer in flight. */
   void end(AttemptOutcome newOutcome) {
     outcome = newOutcome;
   }
@@ -39,34 +42,38 @@
     return outcome == null;
   }
 
-  /** Whether the attempt has ended in that way. */
+  /** Returns whether the attempt has ended with the given outcome. */
   boolean endedWith(AttemptOutcome expected) {
     return outcome == expected;
   }
 
-  /** Whether the host may have executed the request: unless the outcome proves that it has not. */
+  /**
+   * Returns whether the host may have executed the request; true until an outcome proves otherwise.
+   */
   boolean isPossiblyExecuted() {
     return outcome == null || !outcome.provesNotExecuted();
   }
 
-  /** Marks the attempt as cancelled; returns whether it was not yet. */
+  /** Marks the attempt as cancelled; returns false if it was cancelled before. */
   boolean markCancelled() {
     boolean isFirst = !cancelled;
     cancelled = true;
     return isFirst;
   }
 
-  /** A later attempt at the same host has been answered. */
+  /** Counts an answer to a later attempt at the same host. */
   void incrementOvertakenCount() {
     overtakenCount++;
   }
 
-  /** How many later attempts at the same host have been answered since. */
+  /**
+   * Returns how many later attempts at the same host were answered while this one was in flight.
+   */
   int overtakenCount() {
     return overtakenCount;
   }
 
-  /** The answer is not expected any more; {@link InFlightAttempts#presumeLost} calls this. */
+  /** Marks the answer as no longer expected; called by {@link InFlightAttempts#presumeLost}. */
   void presumeLost() {
     presumedLost = true;
   }
@@ -75,7 +82,10 @@
     return presumedLost;
   }
 
-  /** How long its host has not answered anything, in nanoseconds, since it was sent at the most. */
+  /**
+   * Returns the time since the last answer from the host, or since this attempt was sent if that is
+   * shorter, in nanoseconds.
+   */
   long hostSilenceNanos(long now) {
     return now - Math.max(host.health.lastAnswerAt(), sentAt);
   }
--- a/router/src/main/java/rushwood/policy/AttemptResultRecorder.java
+++ b/router/src/main/java/rushwood/policy/AttemptResultRecorder.java
@@ -3,7 +3,10 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.AttemptResult;
 
-/** Lets the components learn from the result of an attempt, in the order that they need. */
+/**
+ * Passes the result of an attempt to the components that learn from it, in the order that they
+ * depend on.
+ */
 final class AttemptResultRecorder {
   private final ServiceTimes serviceTimes;
   private final SlowStart slowStart;
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Takes in the result of an attempt and ends it. For what is learned of the host's speed and
-   * health, the attempt still counts as in flight there.
+   * Records the result of an attempt and ends it. The components that assess the speed and health
+   * of the host come first, while the attempt still counts as in flight there.
    */
   void record(Attempt attempt, AttemptResult result, long now) {
     if (result.outcome() == AttemptOutcome.SUCCESS) {
--- a/router/src/main/java/rushwood/policy/AttemptSender.java
+++ b/router/src/main/java/rushwood/policy/AttemptSender.java
@@ -3,7 +3,7 @@
 import rushwood.api.OverloadSignals;
 import rushwood.api.PolicyActions;
 
-/** Sends a request to the host that was chosen, and tells the components that need to know. */
+/** Sends a request to the chosen host and notifies the components that keep track of attempts. */
 final class AttemptSender {
   private final PolicyActions actions;
   private final OverloadSignals overloadSignals;
@@ -27,7 +27,10 @@
     this.lostAnswers = lostAnswers;
   }
 
-  /** Takes the request out of its queue, if it waits, and starts an attempt at that host. */
+  /**
+   * Starts an attempt at the given host, after removing the request from its wait queue if it is in
+   * one.
+   */
   void send(PendingRequest pending, HostState host, long now) {
     pending.dequeue();
     healthChecks.attemptSent(host, now);
--- a/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
@@ -4,42 +4,51 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Limits the attempts in flight at each host. A limit rises while answers are quick and slots are
- * short, and falls while answers are slow or missing, so that requests queue in the router, which
- * can order them, and not in the host. A limit below one is one slot with a pause after each use.
+ * Limits the attempts in flight at each host. A limit rises while answers are quick and all slots
+ * are in use, and falls while answers are slow or missing, so that requests queue in the router,
+ * which can order them, and not in the host. A limit below 1 means one slot with a pause after each
+ * attempt.
  */
 final class ConcurrencyLimiter {
-  /** The least limit of all routers together at one host: it keeps several cores busy. */
+  /** The minimum limit per host, in slots of all routers together; it keeps several cores busy. */
   private static final double MIN_TOTAL_LIMIT = 6;
 
-  /** The first limit of a host, as a multiple of the least one. */
+  /** The initial limit of a host, as a multiple of the minimum limit. */
   private static final int INITIAL_LIMIT_MULTIPLE = 2;
 
-  /** The share of its slots that the primary gives to reads; the rest is for writes. */
+  /** The share of its slots that a primary gives to reads; the rest is for writes. */
   private static final double PRIMARY_READ_SHARE = 0.5;
 
-  /** The largest step of a limit, as a share of it; it applies to limits below two. */
+  /**
+   * The largest single change of a limit, as a share of the limit; it applies to limits below 2.
+   */
   private static final double MAX_RELATIVE_STEP = 0.25;
 
-  /** The weight of an answer in the latency ratio: about the last ten answers count. */
+  /** The weight of an answer in the latency ratio, which averages about the last ten answers. */
   private static final double LATENCY_RATIO_SMOOTHING = 0.1;
 
-  /** An answer that comes so long after the last one replaces the latency ratio. */
+  /**
+   * An answer this long after the previous one replaces the latency ratio. Shorter gaps weigh an
+   * answer in proportion.
+   */
   private static final double FULL_WEIGHT_GAP_NANOS = 2e9;
 
   /**
-   * The latency ratio above which a host is slow: the rest of the objective time is for the wait
-   * queue.
+   * The latency ratio above which a host is slow; the rest of the objective time is left for
+   * waiting in the queue.
    */
   private static final double TARGET_LATENCY_RATIO = 0.35;
 
-  /** Unused time that a shared slot may make up for, since requests come in bursts. */
+  /** The longest idle time that a shared slot may make up for, since requests arrive in bursts. */
   private static final long MAX_IDLE_CREDIT_NANOS = 3_000_000_000L;
 
-  /** The longest duration of an attempt that counts for a pause, in expected service times. */
+  /** The longest attempt duration that counts towards a pause, in expected service times. */
   private static final double MAX_WORK_MULTIPLE = 3;
 
-  /** Pause of a host that refuses or fails requests: it may be draining before the list says so. */
+  /**
+   * The pause of a host that refuses or fails requests: it may be draining although the endpoint
+   * list does not say so yet.
+   */
   private static final long REFUSAL_PAUSE_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS / 2;
 
   private final double minLimit;
@@ -58,33 +67,35 @@
     this.healthChecks = healthChecks;
   }
 
-  /** This router's part of the least limit of all routers: whole slots, or a share of one. */
+  /**
+   * Returns this router's part of the total minimum limit: whole slots, or a fraction of one slot.
+   */
   private static double minLimit(RoutingSettings settings) {
     double share = MIN_TOTAL_LIMIT / Math.max(1, settings.routerCount());
     return share < 1 ? share : Math.floor(share);
   }
 
-  /** Whether there are so many routers that several share a slot of a host. */
+  /** Returns whether there are so many routers that several share a slot of a host. */
   static boolean areSlotsShared(RoutingSettings settings) {
     return minLimit(settings) < 1;
   }
 
-  /** The limit of a host of which nothing is known yet. */
+  /** Returns the limit of a host from which no answer is known yet. */
   double initialLimit() {
     return INITIAL_LIMIT_MULTIPLE * minLimit;
   }
 
   /**
-   * Whether the host has a free slot for that request, which it may use safely. The first case that
-   * applies:
+   * Returns whether the host has a free slot for the request, and the request may safely run there.
+   * The first case that applies:
    *
    * <ol>
-   *   <li>the host is due for a trial request: only if the request is idempotent;
-   *   <li>the limit in force, or for a read the part of it that a primary gives to reads, is used
+   *   <li>the host is due for a trial request: yes if the request is idempotent, otherwise no;
+   *   <li>the effective limit, or for a read the share of it that a primary gives to reads, is used
    *       up: no;
-   *   <li>the request may have run, and may not run at that host again ({@link
+   *   <li>the request may have run, and must not run on that host again ({@link
    *       RetryPolicy#isSafeOn}): no;
-   *   <li>the host is cold, and its budget is used up ({@link SlowStart#hasTokens}): no;
+   *   <li>the host is cold, and its work budget is used up ({@link SlowStart#hasTokens}): no;
    *   <li>otherwise yes.
    * </ol>
    */
@@ -99,14 +110,14 @@
         && slowStart.hasTokens(pending, host, now);
   }
 
-  /** Whether the host can take any attempt now. */
+  /** Returns whether the host has a free slot for any attempt, or is due for a trial request. */
   boolean canTakeAttempt(HostState host, long now) {
     return host.occupiedSlots() < effectiveLimit(host, now) || healthChecks.isTrialDue(host, now);
   }
 
   /**
-   * The limit in force: 0 in a pause, 1 for an ejected host, else the host's limit, of which a cold
-   * host has a share, and one slot at the least.
+   * Returns the limit that applies now: 0 during a pause, 1 for an ejected host, otherwise the
+   * host's limit. Slow start reduces the limit of a cold host, but not below one slot.
    */
   private double effectiveLimit(HostState host, long now) {
     if (host.concurrency.isPaused(now) || host.health.areConnectsPaused(now)) {
@@ -121,25 +132,27 @@
     return limit * share;
   }
 
-  /** Whether the host's answers have lately taken longer than they should. */
+  /**
+   * Returns whether recent answers from the host took a larger share of the objective time than the
+   * target.
+   */
   static boolean isSlow(HostState host) {
     return host.concurrency.latencyRatio() > TARGET_LATENCY_RATIO;
   }
 
   /**
-   * Adjusts limit and pause of a host to the result of an attempt:
+   * Adjusts the limit and the pause of a host to the result of an attempt:
    *
    * <ul>
-   *   <li>success: the limit follows the duration; the hosts that failed the same request before
-   *       were at fault and pause;
-   *   <li>refused for overload: counts as an answer that took the whole objective time, and the
-   *       host pauses;
-   *   <li>timed out: counts as an answer that took at least the objective time, unless its answer
+   *   <li>success: the limit follows the duration; hosts that answered the same request with an
+   *       error before were at fault and pause;
+   *   <li>overloaded: counts as an answer that took the whole objective time, and the host pauses;
+   *   <li>timed out: counts as an answer that took at least the objective time, unless the attempt
    *       was presumed lost;
-   *   <li>other outcomes say nothing of the host's load.
+   *   <li>other outcomes say nothing about the load of the host.
    * </ul>
    *
-   * After each of them a shared slot pauses.
+   * After any outcome, a host whose limit is below 1 pauses.
    */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
@@ -172,9 +185,9 @@
   }
 
   /**
-   * Adjusts the limit to an answer, by the share of its request's objective time that it took: down
-   * if the host is slow, up if it is not, the answer was quick and all slots were in use. A limit
-   * changes by one slot in as many answers as it has slots.
+   * Adjusts the limit to an answer, which took {@code latencyRatio} of the objective time of its
+   * request: down if the host is slow; up if it is not, the answer was quick and all slots were in
+   * use. A limit changes by one slot over as many answers as it has slots.
    */
   private void adjust(HostState host, double latencyRatio, long now) {
     double gapWeight = Math.min(1, (now - host.health.lastAnswerAt()) / FULL_WEIGHT_GAP_NANOS);
@@ -192,7 +205,7 @@
     host.concurrency.pauseUntil(now + REFUSAL_PAUSE_NANOS);
   }
 
-  /** Pauses a host whose limit is below one, so long that its average use equals the limit. */
+  /** Pauses a host whose limit is below 1 for so long that its average use equals the limit. */
   private void pauseForFractionalLimit(Attempt attempt, long durationNanos, long now) {
     HostState host = attempt.host;
     double maxWork = MAX_WORK_MULTIPLE * serviceTimes.expectedNanos(attempt.pending);
--- a/router/src/main/java/rushwood/policy/ConcurrencyState.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyState.java
@@ -3,8 +3,8 @@
 import rushwood.api.Times;
 
 /**
- * What the {@link ConcurrencyLimiter}, its only writer, knows of a host: how many attempts may be
- * in flight there, how slow its answers are, and until when it gets nothing.
+ * The concurrency limit of a host, the latency of its answers and its current pause, which {@link
+ * ConcurrencyLimiter} determines.
  */
 final class ConcurrencyState {
   private final double initialLimit;
@@ -12,13 +12,16 @@
   private double limit;
   private long pausedUntil = Times.LONG_AGO;
 
-  /** Creates the state of a host whose answers are not known yet. */
+  /** Creates the state of a host from which no answer is known yet. */
   ConcurrencyState(double initialLimit) {
     this.initialLimit = initialLimit;
     limit = initialLimit;
   }
 
-  /** How many attempts may be in flight; below 1, a single slot that pauses between attempts. */
+  /**
+   * Returns how many attempts may be in flight; below 1, a single slot that pauses between
+   * attempts.
+   */
   double limit() {
     return limit;
   }
@@ -27,7 +30,10 @@
     limit = newLimit;
   }
 
-  /** The share of their requests' objective time that the host's answers take, smoothed. */
+  /**
+   * Returns the share of their requests' objective time that answers of the host take, as a moving
+   * average.
+   */
   double latencyRatio() {
     return latencyRatio.value();
   }
@@ -36,7 +42,10 @@
     latencyRatio.add(ratio, weight);
   }
 
-  /** The end of the last pause, as a clock time; {@link Times#LONG_AGO} if there was none. */
+  /**
+   * Returns the end of the last pause as a clock time in nanoseconds; {@link Times#LONG_AGO} if
+   * there was none.
+   */
   long pausedUntil() {
     return pausedUntil;
   }
@@ -49,7 +58,7 @@
     pausedUntil = time;
   }
 
-  /** The host's process has started anew: what was learned of the old one is void. */
+  /** Discards what was learned, after the process of the host has restarted. */
   void reset() {
     limit = initialLimit;
     latencyRatio.reset(0);
--- a/router/src/main/java/rushwood/policy/DeadlinePolicy.java
+++ b/router/src/main/java/rushwood/policy/DeadlinePolicy.java
@@ -3,22 +3,25 @@
 import rushwood.api.OverloadSignals;
 
 /**
- * Decides how long a request is held, and how long an attempt may take. Times are clock times in
- * nanoseconds.
+ * Decides how long a request may be held, and how long an attempt may take. Times are clock times
+ * in nanoseconds.
  */
 final class DeadlinePolicy {
-  /** Clock ticks between an answer of the router and its client's deadline. */
+  /**
+   * The margin between the router's answer and the client's deadline, in ticks of the clock
+   * resolution.
+   */
   private static final int MARGIN_TICKS = 2;
 
   /**
-   * The longest time that is set aside before a deadline for a router with too little processor
-   * time. With more, hardly any time would be left for hosts to answer in.
+   * The longest reserve before a deadline if the router gets too little processor time. A longer
+   * one would leave hosts hardly any time to answer.
    */
   private static final long MAX_ANSWER_RESERVE_NANOS = 400_000_000L;
 
   /**
-   * How many times the present delay is set aside: while load grows, the next delay is longer than
-   * the last one.
+   * The reserve as a multiple of the current answer delay: while load grows, the next delay is
+   * longer than the last one.
    */
   private static final int ANSWER_DELAY_MULTIPLE = 2;
 
@@ -32,31 +35,31 @@
    * Creates the policy of a router that is not shutting down.
    *
    * @param clockResolutionNanos how late a timer may fire
-   * @param overloadSignals tell by how much more answers are late at present
+   * @param overloadSignals the source of the current answer delay
    */
   DeadlinePolicy(long clockResolutionNanos, OverloadSignals overloadSignals) {
     marginNanos = MARGIN_TICKS * clockResolutionNanos;
     this.overloadSignals = overloadSignals;
   }
 
-  /** From now on every request is answered before that time. */
+  /** Requires that every request is answered before the given time. */
   void shutDownAt(long deadline) {
     shutdownAt = deadline;
   }
 
-  /** Whether a request without an answer has to be rejected or failed now. */
+  /** Returns whether a request without an answer has to be rejected or failed now. */
   boolean isExpired(PendingRequest pending, long now) {
     return now >= answerDeadline(pending);
   }
 
   /**
-   * When a request is rejected or failed if it has no answer: a reserve before its deadline, or
-   * before the end of the router if that is earlier. The reserve is a margin for timers, or the
-   * twice the time by which answers are late at present if that is longer; so the deadline of a
-   * request moves while the router's load changes.
+   * Returns when a request is rejected or failed if it has no answer: a reserve before its
+   * deadline, or before the shutdown of the router if that is earlier. The reserve is the timer
+   * margin, or twice the current answer delay up to a maximum if that is longer, so the answer
+   * deadline of a request moves while the load of the router changes.
    *
    * <p>A request that was never sent, and whose answer is worth nothing after its latency
-   * objective, ends at half of its time: an answer within the objective is unlikely by then, and
+   * objective, ends at half of its time: by then an answer within the objective is unlikely, and
    * its client can still retry.
    */
   long answerDeadline(PendingRequest pending) {
@@ -67,12 +70,13 @@
     return deadline;
   }
 
+  /** Returns the midpoint between the arrival and the deadline of a request. */
   private static long halfwayTime(PendingRequest pending) {
     long deadline = pending.request.deadline();
     return deadline - (deadline - pending.arrivedAt) / 2;
   }
 
-  /** How long an attempt that is sent now may take, in nanoseconds. */
+  /** Returns the timeout of an attempt that is sent now, in nanoseconds. */
   long attemptTimeoutNanos(PendingRequest pending, long now) {
     return pending.request.deadline() - answerReserveNanos() - now;
   }
--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -5,8 +5,8 @@
 import rushwood.api.PolicyActions;
 
 /**
- * The deadlines of a router's requests in sequenceNumber of time, equal ones in sequenceNumber of
- * entry; and the one timer that it has asked for.
+ * Requests in order of their deadlines, those with equal deadlines in order of insertion, and the
+ * one timer that is set for them. Times are clock times in nanoseconds.
  */
 final class DeadlineQueue {
   private record Entry(long deadline, long sequenceNumber, PendingRequest pending)
@@ -35,7 +35,10 @@
     requestTimer(deadline);
   }
 
-  /** Removes and returns the next unfinished request whose deadline has come, if there is one. */
+  /**
+   * Removes and returns the unfinished request with the earliest deadline, or returns null if that
+   * deadline has not been reached.
+   */
   @Nullable PendingRequest pollExpired(long now) {
     return earliestDeadline() <= now ? entries.poll().pending() : null;
   }
@@ -47,7 +50,7 @@
     return entries.isEmpty() ? NO_TIMER : entries.peek().deadline();
   }
 
-  /** Asks to be called at that time, unless an earlier call is due. */
+  /** Requests a timer for the given time, unless one is set for that time or earlier. */
   void requestTimer(long time) {
     if (time < timerAt) {
       timerAt = time;
@@ -55,7 +58,10 @@
     }
   }
 
-  /** Called when the timer has fired: asks for the next, at that time or the earliest deadline. */
+  /**
+   * Requests the next timer after one has fired: for the given time or the earliest deadline,
+   * whichever comes first.
+   */
   void rearm(long time) {
     timerAt = NO_TIMER;
     requestTimer(Math.min(time, earliestDeadline()));
--- a/router/src/main/java/rushwood/policy/Decision.java
+++ b/router/src/main/java/rushwood/policy/Decision.java
@@ -1,25 +1,28 @@
 package rushwood.policy;
 
 /**
- * What is to be done with a request: send it to a host, let it wait, or end it with one of the two
- * final answers. {@link RequestDecider} makes these decisions. All of them are objects that exist
- * already, so that a decision allocates nothing.
+ * What {@link RequestDecider} decides about a request: send it to a host, let it wait, or end it
+ * with one of the two final answers. All decisions are existing objects, so that a decision
+ * allocates nothing.
  */
 sealed interface Decision {
   /**
-   * An attempt goes to that host; {@link HostState#sendDecision} is the one such object of a host.
+   * An attempt is sent to the host. Each host has one such object, {@link HostState#sendDecision}.
    */
   record Send(HostState host) implements Decision {}
 
-  /** The request waits in the queue of its group for one of its hosts. */
+  /** The request waits in the queue of its group for a host of that group. */
   enum Wait implements Decision {
     /** The primary is known and usable, but has no free slot for this request. */
     PRIMARY_HAS_NO_FREE_SLOT,
-    /** No usable primary is known, and this write may not look for it now. */
+    /** No usable primary is known, and this write may not search for it now. */
     PRIMARY_UNKNOWN,
-    /** No member of the group may answer this read now: all are ejected, lagging or avoided. */
+    /**
+     * No member of the group may answer this read now, for example because all are ejected or
+     * avoided.
+     */
     NO_SUITABLE_HOST,
-    /** Hosts that may answer this read have no free slot for it. */
+    /** The hosts that may answer this read have no free slot for it. */
     NO_FREE_SLOT
   }
 
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -14,15 +14,14 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * The routing policy of one router. A caller creates it with the settings, a random generator and
- * its {@link PolicyActions}, then calls the methods of {@link RoutingPolicy} (rushwood/api/
- * RoutingPolicy.java, which defines the interface) in the order of events, from one thread. What is
- * decided is carried out through the actions before a call returns. The policy has no clock: each
- * call carries the time, and timers are asked for with {@link PolicyActions#wakeAt}. The same
- * settings, seed and calls give the same decisions.
+ * The routing policy of one router. Its caller reports events with the methods of {@link
+ * RoutingPolicy}, in order and from one thread. Decisions are carried out through {@link
+ * PolicyActions} before a call returns. The policy has no clock: each call carries the time, and
+ * timers are requested with {@link PolicyActions#wakeAt}. The same settings, random seed and calls
+ * give the same decisions.
  */
 public final class DefaultRoutingPolicy implements RoutingPolicy {
-  /** Between two checks of all hosts and wait queues. */
+  /** The interval between two checks of all hosts and wait queues. */
   static final long CHECK_INTERVAL_NANOS = 100_000_000L;
 
   private final long clockResolutionNanos;
@@ -44,7 +43,7 @@
     this(settings, random, actions, OverloadSignals.withoutOverloadControl(settings));
   }
 
-  /** Creates a policy that keeps to the retry budgets and Retry-After times of overload control. */
+  /** Creates a policy that follows the retry budgets and Retry-After times of overload control. */
   public DefaultRoutingPolicy(
       RoutingSettings settings,
       RandomGenerator random,
@@ -114,7 +113,8 @@
   }
 
   /**
-   * {@inheritDoc} No answer proves nothing: hosts turn health checks away when many routers ask.
+   * {@inheritDoc} A missing answer proves nothing: hosts reject health checks when many routers
+   * send them.
    *
    * @throws IllegalArgumentException if this router knows no such host
    */
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Checks the hosts of a group, then what waits for them: reads may go to hosts again that they
-   * have avoided, and while no primary is known writes may look for it.
+   * Checks the hosts of a group, then its wait queues: reads may go again to hosts that they have
+   * avoided, and while no primary is known, writes may search for it.
    */
   private void check(GroupState group, long now) {
     for (HostState host : group.members()) {
--- a/router/src/main/java/rushwood/policy/EndReason.java
+++ b/router/src/main/java/rushwood/policy/EndReason.java
@@ -1,24 +1,24 @@
 package rushwood.policy;
 
-/** Why the policy ends a request without an answer of a host. */
+/** Why the policy ends a request without an answer from a host. */
 enum EndReason {
-  /** The answer deadline has come; see {@link DeadlinePolicy#answerDeadline}. */
+  /** The answer deadline has been reached; see {@link DeadlinePolicy#answerDeadline}. */
   EXPIRED,
-  /** The settings allow no more attempts of one request. */
+  /** The request has used up the attempts that the settings allow. */
   ATTEMPTS_USED_UP,
-  /** Attempts were answered with errors: the request itself may be at fault. */
+  /** Several attempts were answered with errors: the request itself may be at fault. */
   TOO_MANY_ERRORS,
-  /** Under overload, the retry budget of the group allows no retry. */
+  /** Overload control allows no retry in this group, because its retry budget is used up. */
   RETRY_BUDGET_USED_UP,
   /** An earlier attempt may have run, and the request must not run twice. */
   POSSIBLY_EXECUTED,
   /** An earlier attempt may have run, and the window of the idempotency key is nearly over. */
   IDEMPOTENCY_WINDOW_OVER;
 
-  @SuppressWarnings("ImmutableEnumChecker") // a record of an enum constant is immutable
+  @SuppressWarnings("ImmutableEnumChecker") // the records are immutable
   private final Decision.Reject rejection = new Decision.Reject(this);
 
-  @SuppressWarnings("ImmutableEnumChecker") // likewise
+  @SuppressWarnings("ImmutableEnumChecker") // see above
   private final Decision.Fail failure = new Decision.Fail(this);
 
   Decision.Reject rejection() {
--- a/router/src/main/java/rushwood/policy/EndpointPolicy.java
+++ b/router/src/main/java/rushwood/policy/EndpointPolicy.java
@@ -4,17 +4,17 @@
 import rushwood.api.Endpoint;
 
 /**
- * Decides what the endpoint list means for a host. The first case that applies:
+ * Decides how an entry of the endpoint list affects its host. The first case that applies:
  *
  * <ol>
- *   <li>it is listed as removed, and removal is not binding: nothing, since such a list does not
- *       prove which hosts are up; their health decides;
- *   <li>it is listed as draining or removed: it gets no new attempts from now on, even in its grace
- *       period;
- *   <li>it is listed as ready: it serves its group. If its process has started anew, it is cold.
+ *   <li>the host is listed as removed, and removal is not binding: no effect, because such a list
+ *       does not prove which hosts are up; their health decides;
+ *   <li>it is listed as draining or removed: it gets no new attempts from now on, not even during
+ *       its grace period;
+ *   <li>it is listed as ready: it serves its group. If its process has restarted, it is cold.
  * </ol>
  *
- * <p>Where removal is binding, a host that a complete list does not name is removed.
+ * <p>If removal is binding, a complete list also removes the hosts that it does not contain.
  */
 final class EndpointPolicy {
   private final boolean isRemovalBinding;
@@ -33,14 +33,16 @@
     this.primaries = primaries;
   }
 
-  /** A complete list has come; its entries follow with {@link #endpointListed}. */
+  /**
+   * Handles a complete endpoint list. The caller then passes each entry to {@link #endpointListed}.
+   */
   void listReplaced(List<Endpoint> endpoints) {
     if (isRemovalBinding) {
       hosts.removeUnlisted(endpoints);
     }
   }
 
-  /** An entry of the list is new or has changed. */
+  /** Handles a new or changed entry of the list. */
   void endpointListed(Endpoint endpoint) {
     HostState host = hosts.getOrAdd(endpoint, limiter.initialLimit());
     if (endpoint.state() == Endpoint.State.REMOVED && !isRemovalBinding) {
--- a/router/src/main/java/rushwood/policy/EndpointSubscription.java
+++ b/router/src/main/java/rushwood/policy/EndpointSubscription.java
@@ -5,14 +5,17 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Asks for the endpoint list, where the deployment has one to ask for, and asks again after
- * failures: after delays that double, with jitter so that routers that failed together spread out.
+ * Subscribes to the endpoint list where the deployment supports it, and again after each failure.
+ * The retry delay doubles with each failure in a row and has jitter, so that routers that failed
+ * together do not retry together.
  */
 final class EndpointSubscription {
-  /** The first delay. */
+  /** The first retry delay. */
   private static final long MIN_DELAY_NANOS = 2 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
-  /** The longest delay is this part of the time within which a failed request is repeated. */
+  /**
+   * The longest retry delay is one part in this many of {@link RoutingSettings#refreshWithinNanos}.
+   */
   private static final int MAX_DELAY_DIVISOR = 4;
 
   private static final long NO_RETRY = Long.MAX_VALUE;
@@ -37,26 +40,26 @@
     this.deadlineQueue = deadlineQueue;
   }
 
-  /** Asks for the list, where the deployment has one to ask for. */
+  /** Subscribes to the endpoint list where the deployment supports it. */
   void start() {
     if (subscribes) {
       actions.subscribeToEndpoints();
     }
   }
 
-  /** A list has come: the next failure is a first one again. */
+  /** Resets the retry delay, since an update was received. */
   void updateReceived() {
     delayNanos = 0;
   }
 
-  /** Plans to ask again, between a half and one and a half of the current delay from now. */
+  /** Schedules a retry, 0.5 to 1.5 times the current delay from now. */
   void refreshFailed(long now) {
     delayNanos = Math.min(Math.max(2 * delayNanos, MIN_DELAY_NANOS), maxDelayNanos);
     retryAt = now + delayNanos / 2 + random.nextLong(delayNanos);
     deadlineQueue.requestTimer(retryAt);
   }
 
-  /** Asks again if that is due. */
+  /** Subscribes again if a retry is due. */
   void retryIfDue(long now) {
     if (now >= retryAt) {
       retryAt = NO_RETRY;
@@ -64,7 +67,10 @@
     }
   }
 
-  /** When {@link #retryIfDue} is to be called next; {@code Long.MAX_VALUE} if not at all. */
+  /**
+   * Returns when {@link #retryIfDue} has to be called next; {@code Long.MAX_VALUE} if no retry is
+   * scheduled.
+   */
   long retryAt() {
     return retryAt;
   }
--- a/router/src/main/java/rushwood/policy/FinalAnswers.java
+++ b/router/src/main/java/rushwood/policy/FinalAnswers.java
@@ -2,7 +2,7 @@
 
 import rushwood.api.PolicyActions;
 
-/** Ends requests: with a final answer, or without one where none is owed. */
+/** Finishes requests: with a final answer, or without one if the client has disconnected. */
 final class FinalAnswers {
   private final PolicyActions actions;
   private final PendingRequests requests;
@@ -14,7 +14,7 @@
     this.retries = retries;
   }
 
-  /** Tells the client that trying again is harmless, and when to do so. */
+  /** Tells the client that trying again is harmless, and how long to wait before that. */
   void reject(PendingRequest pending, long now) {
     requests.finish(pending);
     actions.reject(pending.request.id(), retries.retryAfterNanos(pending, now));
@@ -28,7 +28,7 @@
     requests.forgetIfDone(pending);
   }
 
-  /** The client is gone: no answer is owed. */
+  /** Finishes a request whose client has disconnected, which needs no answer. */
   void clientDisconnected(PendingRequest pending) {
     requests.finish(pending);
     requests.forgetIfDone(pending);
--- a/router/src/main/java/rushwood/policy/FreshnessPolicy.java
+++ b/router/src/main/java/rushwood/policy/FreshnessPolicy.java
@@ -7,17 +7,17 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Decides how far a replica must have applied the log for a read, and learns how far it has.
+ * Decides how far a replica must have applied the log to answer a read, and records how far it has.
  * Positions are clock times in nanoseconds.
  */
 final class FreshnessPolicy {
   /**
-   * Sessions whose last write is remembered. They take a few megabytes; the writes of those that
-   * were forgotten have reached the replicas.
+   * The number of sessions whose last write is remembered, which takes a few megabytes. The writes
+   * of sessions that were forgotten have reached the replicas by then.
    */
   private static final int MAX_SESSIONS = 50_000;
 
-  /** The staleness bound of deployments where no request class has one. */
+  /** The staleness bound if no request class has one. */
   private static final long DEFAULT_STALENESS_NANOS = 5 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   /** Clients send the time since their last write in whole milliseconds. */
@@ -37,18 +37,19 @@
             .orElse(DEFAULT_STALENESS_NANOS);
   }
 
-  /** The least staleness that any request class allows, in nanoseconds. */
+  /** Returns the smallest staleness bound of all request classes, in nanoseconds. */
   long minStalenessBoundNanos() {
     return minStalenessBoundNanos;
   }
 
   /**
-   * Sets the position that a replica must have applied to answer the request now:
+   * Sets the position that a replica must have applied to answer the request now, according to the
+   * consistency of the request class:
    *
    * <ul>
-   *   <li>eventual: any;
-   *   <li>strong: the arrival of the request;
-   *   <li>bounded staleness: the present time less the bound of the class;
+   *   <li>eventual: any position;
+   *   <li>strong: the arrival time of the request;
+   *   <li>bounded staleness: the current time less the bound of the class;
    *   <li>read your writes: the last write of the session.
    * </ul>
    */
@@ -62,7 +63,10 @@
         });
   }
 
-  /** The position of the session's last write, from this router's record or else the client's. */
+  /**
+   * Returns the position of the session's last write as this router recorded it or, if this router
+   * does not record writes, as the client sent it.
+   */
   private long lastWrite(PendingRequest pending) {
     if (tracksSessionWrites) {
       return sessionWrites.lastCommit(pending.request.session());
@@ -74,8 +78,9 @@
   }
 
   /**
-   * Learns from a committed write the position of its session, and from any other result the
-   * position of its host.
+   * Records what a result says about positions: a successful write gives the commit position of its
+   * session, any other result the position of its host. Also records that a lagging replica refused
+   * a read.
    */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     PendingRequest pending = attempt.pending;
--- a/router/src/main/java/rushwood/policy/GroupState.java
+++ b/router/src/main/java/rushwood/policy/GroupState.java
@@ -6,7 +6,7 @@
 import java.util.stream.Stream;
 import org.jspecify.annotations.Nullable;
 
-/** What a router knows of a group: its members in order of id, its primary, its wait queues. */
+/** The members of a group, its primary and its wait queues, as a router knows them. */
 final class GroupState {
   private static final Comparator<HostState> BY_ID = Comparator.comparing(host -> host.id.value());
 
@@ -20,12 +20,12 @@
   private @Nullable HostState primary;
   private @Nullable PendingRequest primaryDiscovery;
 
-  /** The members in order of id; not to be changed. */
+  /** Returns the members in order of id. Callers must not modify the list. */
   List<HostState> members() {
     return members;
   }
 
-  /** Adds a host, which leaves the group that it was in; has no effect on a member. */
+  /** Adds a host and removes it from its previous group; has no effect on a member. */
   void add(HostState host) {
     if (!host.isMemberOf(this)) {
       host.joinGroup(this);
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Removes a host; {@link HostState#leaveGroup} calls this. */
+  /** Removes a host; called by {@link HostState#leaveGroup}. */
   void remove(HostState host) {
     members.remove(host);
     clearPrimary(host);
@@ -49,14 +49,14 @@
     return true;
   }
 
-  /** All members but the primary, as a new list. */
+  /** Returns all members but the primary, as a new list. */
   List<HostState> replicas() {
     List<HostState> replicas = new ArrayList<>(members);
     replicas.remove(primary);
     return replicas;
   }
 
-  /** The primary, if it is known. */
+  /** Returns the primary, or null if it is unknown. */
   @Nullable HostState primary() {
     return primary;
   }
@@ -69,24 +69,24 @@
     return primary == host;
   }
 
-  /** The {@link PrimaryTracker} takes that member for the primary. */
+  /** Records the member that {@link PrimaryTracker} considers the primary. */
   void setPrimary(HostState host) {
     primary = host;
   }
 
-  /** From now on the primary is unknown, if it was that host. */
+  /** Makes the primary unknown if it is the given host. */
   void clearPrimary(HostState host) {
     if (primary == host) {
       primary = null;
     }
   }
 
-  /** Whether requests wait and no primary is known. */
+  /** Returns whether requests wait for their first attempt while no primary is known. */
   boolean needsPrimary() {
     return !hasPrimary() && !firstAttempts.isEmpty();
   }
 
-  /** That write goes to a member whose role is unknown, to find the primary. */
+  /** Records that the given write is sent to a member of unknown role to find the primary. */
   void startPrimaryDiscovery(PendingRequest pending) {
     primaryDiscovery = pending;
   }
@@ -95,14 +95,17 @@
     return primaryDiscovery != null;
   }
 
-  /** Called when the request has its result or is finished: the next write may look for it. */
+  /**
+   * Allows the next write to search for the primary, if the given request was doing so. Called when
+   * the request has a result or is finished.
+   */
   void endPrimaryDiscovery(PendingRequest pending) {
     if (primaryDiscovery == pending) {
       primaryDiscovery = null;
     }
   }
 
-  /** A copy of all waiting requests, first attempts before retries. */
+  /** Returns a copy of all waiting requests, first attempts before retries. */
   List<PendingRequest> waitingRequests() {
     return Stream.concat(firstAttempts.requests().stream(), retries.requests().stream()).toList();
   }
--- a/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
+++ b/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
@@ -6,24 +6,30 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Decides which hosts get a health check or a trial request. Both together stay a share of this
- * router's requests: hundreds of routers that each check all hosts cost more than they learn, and
- * hosts turn their checks away.
+ * Decides which hosts get a health check or a trial request. Both together are limited to a share
+ * of the requests of this router: if each of hundreds of routers checked all hosts, the checks
+ * would cost more than they reveal, and hosts would reject them.
  */
 final class HealthCheckPolicy {
-  /** Health checks and trial requests for each request: a small share of what requests cost. */
+  /** The health checks and trial requests that each received request allows. */
   private static final double CHECKS_PER_REQUEST = 0.1;
 
-  /** How many may be saved up: about a group's health checks and its hosts' first trials. */
+  /**
+   * The most that may accrue unused: about enough for the health checks of a group and the first
+   * trial requests of its hosts.
+   */
   private static final int MAX_ACCRUED_CHECKS = 10;
 
   /**
-   * Between two trial requests or health checks of an ejected host; short, since the budget limits
-   * their number.
+   * The interval between trial requests or health checks of an ejected host. It can be short, since
+   * the budget limits their number.
    */
   static final long TRIAL_INTERVAL_NANOS = 5 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
-  /** Until an unreachable host is checked again: the first health check may get lost. */
+  /**
+   * The time from the ejection of an unreachable host to its second health check, since the first
+   * one may get lost.
+   */
   private static final long FIRST_RECHECK_INTERVAL_NANOS =
       DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
@@ -40,14 +46,14 @@
     this.actions = actions;
   }
 
-  /** Each request adds to the budget. */
+  /** Adds the allowance of one request to the budget. */
   void requestReceived() {
     budget.add(CHECKS_PER_REQUEST, MAX_ACCRUED_CHECKS);
   }
 
   /**
-   * Checks the host, if hosts answer health checks, none is in flight there and the budget allows
-   * it; returns whether it did.
+   * Sends a health check, provided that hosts answer health checks, none is in flight to this host
+   * and the budget allows it. Returns whether it was sent.
    */
   boolean checkHealth(HostState host) {
     if (!hasHealthChecks || host.health.isHealthCheckInFlight() || !budget.has(1)) {
@@ -59,12 +65,12 @@
     return true;
   }
 
-  /** The health check of that host has ended, with an answer or without. */
+  /** Records the end of a health check, with or without an answer. */
   void healthCheckFinished(HostState host) {
     host.health.healthCheckEnded();
   }
 
-  /** Checks an ejected host. */
+  /** Sends a health check to a host that was just ejected, and schedules its next trial. */
   void hostEjected(HostState host, long now) {
     boolean isUnreachable = host.health.isUnreachable();
     long intervalNanos = isUnreachable ? FIRST_RECHECK_INTERVAL_NANOS : TRIAL_INTERVAL_NANOS;
@@ -72,7 +78,7 @@
     checkHealth(host);
   }
 
-  /** Checks an unreachable host again after each trial interval. */
+  /** Sends the next health check to an unreachable host if its trial interval has passed. */
   void checkHealthIfDue(HostState host, long now) {
     if (isHealthCheckDue(host, now) && checkHealth(host)) {
       host.health.scheduleTrial(now + TRIAL_INTERVAL_NANOS);
@@ -84,14 +90,14 @@
   }
 
   /**
-   * Whether the host may get a trial request. An unresponsive host may answer health checks, so
-   * only a request shows whether it serves again.
+   * Returns whether the host is due for a trial request. An unresponsive host may answer health
+   * checks, so only a request shows whether it serves requests again.
    */
   boolean isTrialDue(HostState host, long now) {
     return host.health.isUnresponsive() && host.health.isTrialTimeReached(now) && budget.has(1);
   }
 
-  /** An attempt at a host that is due for a trial request is that trial request. */
+  /** Counts an attempt at a host that is due for a trial request as that trial request. */
   void attemptSent(HostState host, long now) {
     if (isTrialDue(host, now)) {
       budget.take(1);
@@ -100,10 +106,10 @@
   }
 
   /**
-   * Where hosts report their positions, checks the replica whose position was heard longest ago, if
-   * that is longer than {@code maxAgeNanos}. Half of the time unreachable hosts that are due come
-   * first, which only a health check brings back: reads that find no fresh replica would otherwise
-   * use up the budget, and such hosts would stay ejected.
+   * Sends a health check to the replica whose position was reported longest ago, if that is longer
+   * ago than {@code maxAgeNanos} and hosts report their positions. In half of the calls, chosen at
+   * random, does nothing while a health check of an unreachable member is due: only health checks
+   * restore such members, and reads that find no fresh replica would otherwise use up the budget.
    */
   void checkReplicaWithOldestReport(GroupState group, long maxAgeNanos, long now) {
     if (!hasLoadReports) {
--- a/router/src/main/java/rushwood/policy/HostHealth.java
+++ b/router/src/main/java/rushwood/policy/HostHealth.java
@@ -3,15 +3,15 @@
 import rushwood.api.Times;
 
 /**
- * Whether a host can be reached and answers, as far as this router knows, and what it has done to
- * find out. Times are clock times in nanoseconds.
+ * Whether a host is reachable and responsive, as far as this router knows, and when it may be tried
+ * again. Times are clock times in nanoseconds.
  */
 final class HostHealth {
   enum Status {
     HEALTHY,
-    /** Connections to it fail or break. */
+    /** Connections to the host fail or break. */
     UNREACHABLE,
-    /** It accepts attempts and answers none. */
+    /** The host accepts attempts but answers none. */
     UNRESPONSIVE
   }
 
@@ -38,52 +38,56 @@
     return status == Status.UNRESPONSIVE;
   }
 
-  /** The {@link OutlierDetector} excludes the host from selection. */
+  /** Excludes the host from selection; called by {@link OutlierDetector}. */
   void eject(Status newStatus, long now) {
     status = newStatus;
     ejectedAt = now;
   }
 
-  /** The host answers again, or its process has started anew. */
+  /** Marks the host as healthy: it answers again, or its process has restarted. */
   void restore() {
     status = Status.HEALTHY;
   }
 
-  /** When the host was last ejected. */
+  /** Returns when the host was last ejected; {@link Times#LONG_AGO} if never. */
   long ejectedAt() {
     return ejectedAt;
   }
 
   /**
-   * Whether the next health check or trial request may be sent; counts only while the host is
-   * ejected.
+   * Returns whether the next health check or trial request may be sent; only meaningful while the
+   * host is ejected.
    */
   boolean isTrialTimeReached(long now) {
     return now >= nextTrialAt;
   }
 
-  /** The {@link HealthCheckPolicy} allows the next health check or trial request at that time. */
+  /** Allows the next health check or trial request from the given time on. */
   void scheduleTrial(long time) {
     nextTrialAt = time;
   }
 
-  /** The host has answered an attempt, if only to refuse it. */
+  /**
+   * Records that the host answered an attempt, which may be a refusal, and ends a connect pause.
+   */
   void answered(long now) {
     lastAnswerAt = now;
     connectPausedUntil = Times.LONG_AGO;
   }
 
-  /** The router may open no connection to the host; holds until then, or until it answers. */
+  /**
+   * Records that no connection to the host may be opened until the given time, or until it answers.
+   */
   void pauseConnects(long until) {
     connectPausedUntil = until;
   }
 
-  /** Whether attempts would have to wait for a connection that may not be opened yet. */
+  /** Returns whether attempts would have to wait for a connection that may not be opened yet. */
   boolean areConnectsPaused(long now) {
     return now < connectPausedUntil;
   }
 
-  /** When the host last answered an attempt; {@link Times#LONG_AGO} if it never did. */
+  /** Returns when the host last answered an attempt; {@link Times#LONG_AGO} if never. */
   long lastAnswerAt() {
     return lastAnswerAt;
   }
--- a/router/src/main/java/rushwood/policy/HostState.java
+++ b/router/src/main/java/rushwood/policy/HostState.java
@@ -5,7 +5,7 @@
 import rushwood.api.Endpoint;
 import rushwood.api.HostId;
 
-/** What a router knows of a host. */
+/** What a router knows about a host. */
 final class HostState {
   final HostId id;
   final HostHealth health = new HostHealth();
@@ -14,7 +14,10 @@
   final ConcurrencyState concurrency;
   final InFlightAttempts inFlight = new InFlightAttempts();
 
-  /** The decision to send a request here: one object, so that no request allocates its own. */
+  /**
+   * The decision to send a request to this host, shared by all requests to avoid an allocation for
+   * each.
+   */
   final Decision.Send sendDecision = new Decision.Send(this);
 
   private Endpoint endpoint;
@@ -27,25 +30,25 @@
     concurrency = new ConcurrencyState(initialLimit);
   }
 
-  /** The host as it was last listed. */
+  /** Returns the host as it was last listed. */
   Endpoint endpoint() {
     return endpoint;
   }
 
-  /** Discovery lists the host, with the same id. */
+  /** Records the latest entry of the endpoint list for this host; the id is the same. */
   void endpointListed(Endpoint newEndpoint) {
     endpoint = newEndpoint;
   }
 
-  /** Whether it serves a group: it is listed as ready. */
+  /** Returns whether the host serves a group, that is, is listed as ready. */
   boolean hasGroup() {
     return group != null;
   }
 
   /**
-   * The group that it serves.
+   * Returns the group that the host serves.
    *
-   * @throws NullPointerException if it serves none, since it is draining or removed
+   * @throws NullPointerException if it serves none, because it is draining or removed
    */
   GroupState group() {
     return Objects.requireNonNull(group);
@@ -55,13 +58,13 @@
     return group == other;
   }
 
-  /** The host serves that group from now on; {@link GroupState#add} calls this. */
+  /** Makes the host serve the given group; called by {@link GroupState#add}. */
   void joinGroup(GroupState newGroup) {
     leaveGroup();
     group = newGroup;
   }
 
-  /** The host is draining or removed, or moves to another group. */
+  /** Removes the host from its group, because it is draining, removed or moved to another group. */
   void leaveGroup() {
     if (group != null) {
       group.remove(this);
@@ -69,18 +72,22 @@
     }
   }
 
-  /** Whether it is the known primary of the group that it serves. */
+  /** Returns whether the host is the known primary of its group. */
   boolean isPrimary() {
     return group != null && group.isPrimary(this);
   }
 
-  /** Whether the host is up although that attempt failed: the connection was at fault. */
+  /**
+   * Returns whether the host has answered an attempt since the given one was sent. If so, the host
+   * is up and a failure of that attempt was the fault of its connection.
+   */
   boolean hasAnsweredSince(Attempt attempt) {
     return health.lastAnswerAt() > attempt.sentAt;
   }
 
   /**
-   * Its process has started anew: what was learned of the old one's capacity and health is void.
+   * Discards what was learned about capacity and health, because the process of the host has
+   * restarted.
    */
   void processRestarted(long startedAt) {
     slowStart.processStarted(startedAt);
@@ -88,12 +95,12 @@
     health.restore();
   }
 
-  /** Attempts in flight that are not presumed lost. */
+  /** Returns the number of attempts in flight that are not presumed lost. */
   int occupiedSlots() {
     return inFlight.occupiedSlots();
   }
 
-  /** Occupied slots for its weight. */
+  /** Returns the number of occupied slots divided by the weight of the host. */
   double load() {
     return occupiedSlots() / endpoint.weight();
   }
--- a/router/src/main/java/rushwood/policy/HostTable.java
+++ b/router/src/main/java/rushwood/policy/HostTable.java
@@ -11,7 +11,8 @@
 import rushwood.api.HostId;
 
 /**
- * The hosts that a router knows, in the order in which it heard of them, and their groups by id.
+ * The hosts that a router knows, in the order in which they were first listed, and the groups in
+ * order of id.
  */
 final class HostTable {
   private final Map<HostId, HostState> hosts = new LinkedHashMap<>();
@@ -19,7 +20,7 @@
       new TreeMap<>(Comparator.comparing(GroupId::value));
 
   /**
-   * The state of a host that was listed and not yet forgotten.
+   * Returns the state of a host that was listed and not forgotten since.
    *
    * @throws IllegalArgumentException if this router knows no such host
    */
@@ -31,7 +32,9 @@
     return host;
   }
 
-  /** The state of a listed host, created with that concurrency limit if the host is new. */
+  /**
+   * Returns the state of a listed host, creating it with the given concurrency limit if it is new.
+   */
   HostState getOrAdd(Endpoint endpoint, double initialLimit) {
     return hosts.computeIfAbsent(endpoint.id(), id -> new HostState(endpoint, initialLimit));
   }
@@ -48,7 +51,7 @@
     return groups.values();
   }
 
-  /** Takes every host out of its group that the list does not name. */
+  /** Removes every host that the list does not contain from its group. */
   void removeUnlisted(List<Endpoint> endpoints) {
     List<HostId> listed = endpoints.stream().map(Endpoint::id).toList();
     for (HostState host : hosts.values()) {
@@ -58,9 +61,7 @@
     }
   }
 
-  /**
-   * Forgets hosts that have left their group, once no attempt or health check is in flight there.
-   */
+  /** Forgets hosts without a group once no attempt or health check is in flight there. */
   void forgetRemoved() {
     hosts
         .values()
--- a/router/src/main/java/rushwood/policy/InFlightAttempts.java
+++ b/router/src/main/java/rushwood/policy/InFlightAttempts.java
@@ -6,8 +6,8 @@
 import java.util.stream.Stream;
 
 /**
- * The attempts at one host whose result is outstanding, in order of sending. Each occupies a slot
- * of the host until it ends or is presumed lost.
+ * The attempts at one host that have no result yet, in order of sending. Each occupies a slot of
+ * the host until it ends or is presumed lost.
  */
 final class InFlightAttempts implements Iterable<Attempt> {
   private final List<Attempt> attempts = new ArrayList<>();
@@ -36,23 +36,26 @@
     return attempts.isEmpty();
   }
 
-  /** All attempts in flight, those presumed lost among them. */
+  /** Returns the number of attempts in flight, including those presumed lost. */
   int size() {
     return attempts.size();
   }
 
-  /** Attempts in flight that are not presumed lost. */
+  /** Returns the number of attempts in flight that are not presumed lost. */
   int occupiedSlots() {
     return attempts.size() - presumedLostCount;
   }
 
-  /** Frees the slot of an attempt in flight whose answer is not expected any more; call it once. */
+  /**
+   * Frees the slot of an attempt in flight whose answer is no longer expected. May be called only
+   * once for an attempt.
+   */
   void presumeLost(Attempt attempt) {
     attempt.presumeLost();
     presumedLostCount++;
   }
 
-  /** Counts an answer against every attempt in flight that was sent before the answered one. */
+  /** Counts an answer for every attempt in flight that was sent before the answered one. */
   void incrementOvertakenCounts(Attempt answered) {
     for (Attempt attempt : attempts) {
       if (attempt.sentAt < answered.sentAt) {
--- a/router/src/main/java/rushwood/policy/LongReadPolicy.java
+++ b/router/src/main/java/rushwood/policy/LongReadPolicy.java
@@ -4,12 +4,13 @@
 import rushwood.api.RequestClass.Consistency;
 
 /**
- * Decides which reads are long, and which replicas take them. Long reads may keep a replica from
- * applying its log. All routers send them to the same few replicas, the first in order of id, so
- * that the others stay fresh. After a wait they may go to the primary, which applies no log.
+ * Decides which reads are long, and which replicas serve them. Long reads may keep a replica from
+ * applying its log, so all routers send them to the same few replicas, the first in order of id,
+ * and the others stay fresh. After a wait, long reads may also go to the primary, which applies no
+ * log.
  */
 final class LongReadPolicy {
-  /** One replica in this many takes long reads, and one at the least. */
+  /** One usable replica in this many takes long reads, but at least one replica does. */
   private static final int LONG_READ_DIVISOR = 3;
 
   private final ServiceTimes serviceTimes;
@@ -22,13 +23,16 @@
     this.outliers = outliers;
   }
 
-  /** Whether the read may be stale and is expected to take longer than other reads may be stale. */
+  /**
+   * Returns whether the read accepts data of any age and is expected to take longer than the
+   * smallest staleness bound of all request classes.
+   */
   boolean isLong(PendingRequest pending) {
     return pending.requires(Consistency.EVENTUAL)
         && serviceTimes.expectedNanos(pending) > freshness.minStalenessBoundNanos();
   }
 
-  /** Whether the host is among the usable replicas of its group that take long reads. */
+  /** Returns whether the host is one of the usable replicas of its group that take long reads. */
   boolean takesLongReads(HostState host, long now) {
     List<HostState> usable = host.group().replicas();
     usable.removeIf(replica -> !outliers.isUsable(replica, now));
--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -3,40 +3,46 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which attempts will not be answered any more. An attempt is presumed lost once it is
- * late, that is, has waited for several expected service times, and has been overtaken by several
- * answers to later attempts at the same host:
+ * Decides which attempts will not be answered any more. An attempt is late once it has been in
+ * flight for several expected service times. A late attempt is presumed lost once several later
+ * attempts at the same host have been answered, that is, once their answers have overtaken it:
  *
  * <ul>
- *   <li>by so many for each attempt in flight there that the loss is certain;
- *   <li>while many losses were certain lately, by a few, which make a loss probable; this does not
- *       hold for the control sample, which measures the ratio of certain losses.
+ *   <li>the loss is certain after several overtaking answers for each attempt in flight at the
+ *       host;
+ *   <li>while the ratio of certain losses is high, a few overtaking answers suffice, which make a
+ *       loss probable. A control sample of the attempts is exempt from this, so that the ratio can
+ *       be measured.
  * </ul>
  *
- * <p>Such an attempt holds no slot and does not count as slow. It is cancelled, so that its request
- * is retried, if a retry can still be in time and is safe. At a host that is merely slow few
- * answers overtake others; a long request among short ones may seem lost.
+ * <p>An attempt that is presumed lost occupies no slot and does not count as slow. It is cancelled
+ * so that its request is retried, if a retry is safe and can still be in time. At a host that is
+ * merely slow, few answers overtake others; a long request among short ones may be presumed lost by
+ * mistake.
  */
 final class LostAnswerDetector {
-  /** An attempt is late after that many expected service times: more than a short pause. */
+  /**
+   * An attempt is late after this many expected service times, which is longer than a short pause
+   * of a host.
+   */
   private static final double LATE_MULTIPLE = 3;
 
-  /** A loss is certain after that many overtaking answers per attempt in flight at the host. */
+  /** A loss is certain after this many overtaking answers per attempt in flight at the host. */
   private static final int CERTAIN_LOSS_MULTIPLE = 3;
 
-  /** A loss is probable after that many overtaking answers; one or two may be chance. */
+  /** A loss is probable after this many overtaking answers; one or two may be chance. */
   private static final int PROBABLE_LOSS_COUNT = 3;
 
-  /** Above this ratio of certain losses, a probable loss is enough. */
+  /** The ratio of certain losses above which a probable loss is enough. */
   private static final double HIGH_LOSS_RATIO = 0.2;
 
   /** The weight of a certain loss in the loss ratio. */
   private static final double LOSS_RATIO_SMOOTHING = 0.05;
 
-  /** An answer weighs this many times less in the loss ratio than a certain loss. */
+  /** A certain loss has this many times the weight of an answer in the loss ratio. */
   private static final int ANSWER_WEIGHT_DIVISOR = 20;
 
-  /** One attempt in this many waits until its loss is certain, to measure the loss ratio. */
+  /** On average, one attempt in this many belongs to the control sample. */
   private static final int CONTROL_SAMPLE_INTERVAL = 4;
 
   private final RandomGenerator random;
@@ -50,12 +56,15 @@
     this.requests = requests;
   }
 
-  /** Whether an attempt that is sent now is a control sample. */
+  /** Decides at random whether the attempt that is sent now belongs to the control sample. */
   boolean drawControlSample() {
     return random.nextInt(CONTROL_SAMPLE_INTERVAL) == 0;
   }
 
-  /** Counts an answer against the attempts that were sent to its host before it. */
+  /**
+   * Counts an answer for the attempts that were sent to its host earlier, and checks the host for
+   * lost answers.
+   */
   void answerReceived(Attempt answered, long now) {
     lossRatio -= lossRatio * LOSS_RATIO_SMOOTHING / ANSWER_WEIGHT_DIVISOR;
     answered.host.inFlight.incrementOvertakenCounts(answered);
@@ -63,8 +72,9 @@
   }
 
   /**
-   * Marks the attempts at that host that are lost, and cancels those that are better retried;
-   * called once a check interval, after each answer of the host and when it is ejected.
+   * Marks the attempts at a host that are presumed lost, and cancels those whose request should be
+   * retried. Called once per check interval, after each answer from the host and when the host is
+   * ejected.
    */
   void check(HostState host, long now) {
     int certainLossCount = CERTAIN_LOSS_MULTIPLE * host.inFlight.size();
@@ -89,12 +99,15 @@
     return now - attempt.sentAt > LATE_MULTIPLE * expectedNanos;
   }
 
-  /** Lost with time left for a retry, or late at an unresponsive host; and safe to retry. */
+  /**
+   * Returns whether to cancel an attempt so that its request is retried: a retry is safe, and the
+   * attempt is presumed lost with time left for a retry, or is late at an unresponsive host.
+   */
   private boolean shouldCancelForRetry(Attempt attempt, long now) {
     PendingRequest pending = attempt.pending;
     double retryEnd = now + serviceTimes.expectedNanos(pending);
     boolean canRetryInTime = attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline;
-    boolean isStuck = attempt.host.health.isUnresponsive() && isLate(attempt, now);
-    return (canRetryInTime || isStuck) && RetryPolicy.canRetryAfterCancel(pending);
+    boolean isUnresponsive = attempt.host.health.isUnresponsive() && isLate(attempt, now);
+    return (canRetryInTime || isUnresponsive) && RetryPolicy.canRetryAfterCancel(pending);
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -8,31 +8,35 @@
 import rushwood.api.PolicyActions;
 
 /**
- * Ejects hosts that cannot be reached or answer nothing, and takes them back. An ejected host loses
- * its role as primary and gets nothing but trial requests.
+ * Ejects hosts that cannot be reached or do not answer, and restores them. An ejected host loses
+ * its role as primary and gets only trial requests, unless no member of its group is healthy.
  *
  * <table>
  *   <caption>Transitions</caption>
  *   <tr><th>from</th><th>to</th><th>when</th></tr>
- *   <tr><td>any</td><td>unreachable</td><td>a connection to it fails, though it has not answered
- *       since that attempt was sent; or the connection of its only attempt breaks</td></tr>
- *   <tr><td>healthy</td><td>unresponsive</td><td>more than {@value #MAX_MISSING_ANSWERS} answers
- *       are missing</td></tr>
- *   <tr><td>unreachable</td><td>healthy</td><td>it answers a health check</td></tr>
- *   <tr><td>unresponsive</td><td>healthy</td><td>it answers an attempt</td></tr>
+ *   <tr><td>any</td><td>unreachable</td><td>a connection to the host cannot be opened, and the host has not answered since that attempt was sent; or the connection of its only attempt in flight breaks</td></tr>
+ *   <tr><td>healthy</td><td>unresponsive</td><td>more than {@value #MAX_MISSING_ANSWERS} answers are missing</td></tr>
+ *   <tr><td>unreachable</td><td>healthy</td><td>the host answers a health check</td></tr>
+ *   <tr><td>unresponsive</td><td>healthy</td><td>the host answers an attempt</td></tr>
  * </table>
  *
- * <p>A host of any state to which no connection may be opened gets no attempt for a while: those
- * that wait would each be used up at once.
+ * <p>In any state, a host to which the connect backoff allows no connection gets no attempts for a
+ * while. Otherwise every waiting request would use up an attempt at once.
  */
 final class OutlierDetector {
-  /** So many missing answers are chance once in 100,000. */
+  /**
+   * The number of missing answers above which a host is ejected. By chance, so many are missing
+   * once in 100,000 cases.
+   */
   private static final double MAX_MISSING_ANSWERS = 12;
 
-  /** After a longer outage the process of a host has probably restarted, and is cold. */
+  /**
+   * The longest outage after which a host counts as warm. After a longer one its process has
+   * probably restarted.
+   */
   private static final long MAX_WARM_OUTAGE_NANOS = 2 * HealthCheckPolicy.TRIAL_INTERVAL_NANOS;
 
-  /** Between two attempts at a host that turn out to need a connection that is not allowed. */
+  /** How long a host gets no attempts after one needed a connection that is not allowed. */
   private static final long CONNECT_PAUSE_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS / 2;
 
   private final PolicyActions actions;
@@ -55,9 +59,9 @@
   }
 
   /**
-   * Whether the host may get requests: it is healthy, or is due for a trial request; or no member
-   * of its group is healthy, since ejection never empties a group, and the connect backoff allows
-   * an attempt where the host is unreachable.
+   * Returns whether the host may get requests: it is healthy or due for a trial request; or no
+   * member of its group is healthy, because ejection must not empty a group, and, if the host is
+   * unreachable, the connect backoff allows a connection to it.
    */
   boolean isUsable(HostState host, long now) {
     return host.health.isHealthy()
@@ -66,7 +70,11 @@
             && (!host.health.isUnreachable() || overloadSignals.canConnect(now, host.id)));
   }
 
-  /** A broken connection says nothing of a host that answers, or has other attempts in flight. */
+  /**
+   * Ejects, restores or pauses a host after an attempt. A broken connection is no evidence against
+   * a host with other attempts in flight, nor a failed connect against a host that has answered
+   * since.
+   */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
     boolean failed =
@@ -85,14 +93,20 @@
     }
   }
 
-  /** An answered health check restores an unreachable host; an unresponsive one may answer them. */
+  /**
+   * Restores an unreachable host. An unresponsive host stays ejected, since it may answer health
+   * checks but no requests.
+   */
   void healthCheckAnswered(HostState host, long now) {
     if (host.health.isUnreachable()) {
       restore(host, now);
     }
   }
 
-  /** Ejects a host or checks its health; called once a check interval. */
+  /**
+   * Ejects a host that owes too many answers, or else sends it a health check if one is due. Called
+   * once per check interval.
+   */
   void check(HostState host, long now) {
     if (host.health.isHealthy() && missingAnswers(host, now) > MAX_MISSING_ANSWERS) {
       eject(host, HostHealth.Status.UNRESPONSIVE, now);
@@ -122,9 +136,9 @@
   }
 
   /**
-   * How many answers a host should have given since its last one, by the expected service times of
-   * what is in flight there. A host that answers anything is responsive, and when all hosts grow
-   * slower together the expected times grow too.
+   * Returns how many answers a host should have given since its last one, according to the expected
+   * service times of the attempts in flight there. A host that answers anything is responsive, and
+   * when all hosts become slower together, the expected service times grow too.
    */
   private double missingAnswers(HostState host, long now) {
     return host.inFlight.stream()
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -11,11 +11,11 @@
 import rushwood.api.Times;
 
 /**
- * A request that the policy has accepted, with its attempts, of which the last alone can be in
+ * A request that the policy has accepted, and its attempts, of which only the last can be in
  * flight. Times are clock times in nanoseconds.
  */
 final class PendingRequest {
-  /** Required of a replica by a read that data of any age may answer. */
+  /** The required position of a read that accepts data of any age. */
   static final long ANY_POSITION = Times.LONG_AGO;
 
   final Request request;
@@ -32,7 +32,7 @@
   private boolean queued;
   private boolean finished;
 
-  /** Creates a request without attempts that waits in no queue. */
+  /** Creates a request without attempts that is in no wait queue. */
   PendingRequest(Request request, GroupState group, long arrivedAt) {
     this.request = request;
     this.requestClass = request.requestClass();
@@ -42,7 +42,7 @@
         Math.min(arrivedAt + requestClass.latencyObjectiveNanos(), request.deadline());
   }
 
-  /** The time from arrival to the objective's deadline, in nanoseconds. */
+  /** Returns the time from arrival to {@link #objectiveDeadline}, in nanoseconds. */
   double objectiveNanos() {
     return objectiveDeadline - arrivedAt;
   }
@@ -63,17 +63,20 @@
     return requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY;
   }
 
-  /** The position that a replica has to have applied to answer, or {@link #ANY_POSITION}. */
+  /**
+   * Returns the log position that a replica must have applied to answer the request, or {@link
+   * #ANY_POSITION}.
+   */
   long requiredPosition() {
     return requiredPosition;
   }
 
-  /** The {@link FreshnessPolicy} asks for that position. */
+  /** Sets the required position; called by {@link FreshnessPolicy}. */
   void requirePosition(long position) {
     requiredPosition = position;
   }
 
-  /** The request is sent to a host. */
+  /** Creates and returns an attempt at the given host. */
   Attempt startAttempt(HostState host, long now, boolean isControlSample) {
     Attempt attempt = new Attempt(this, host, now, isControlSample);
     attempts.add(attempt);
@@ -88,12 +91,14 @@
     return !attempts.isEmpty();
   }
 
-  /** The attempt of that number, from 0; the number is below {@link #attemptCount}. */
+  /** Returns the attempt with the given index, from 0 to {@link #attemptCount} - 1. */
   Attempt attempt(int number) {
     return attempts.get(number);
   }
 
-  /** The last attempt of a request that has one; it alone can be in flight. */
+  /**
+   * Returns the last attempt, the only one that can be in flight. The request must have an attempt.
+   */
   Attempt lastAttempt() {
     return attempts.get(attempts.size() - 1);
   }
@@ -106,7 +111,7 @@
     return firstPossiblyExecutedAttempt() != null;
   }
 
-  /** The first attempt that may have been executed, if there is one. */
+  /** Returns the first attempt that the host may have executed, or null if there is none. */
   @Nullable Attempt firstPossiblyExecutedAttempt() {
     for (Attempt attempt : attempts) {
       if (attempt.isPossiblyExecuted()) {
@@ -116,12 +121,12 @@
     return null;
   }
 
-  /** The number of attempts that were answered with an error. */
+  /** Returns the number of attempts that were answered with an error. */
   long errorCount() {
     return attempts.stream().filter(attempt -> attempt.endedWith(AttemptOutcome.ERROR)).count();
   }
 
-  /** The hosts that answered with an error. */
+  /** Returns the hosts that answered with an error. */
   List<HostState> hostsWithErrors() {
     return attempts.stream()
         .filter(attempt -> attempt.endedWith(AttemptOutcome.ERROR))
@@ -129,7 +134,7 @@
         .toList();
   }
 
-  /** The host was behind, or at fault, when this request tried it. */
+  /** Excludes a host that lagged or was at fault when this request was sent to it. */
   void avoid(HostState host) {
     avoidedHosts.add(host);
   }
@@ -138,12 +143,12 @@
     return avoidedHosts.contains(host);
   }
 
-  /** From now on the request may go to hosts again that it has avoided. */
+  /** Allows the request to go again to the hosts that it has avoided. */
   void forgetAvoidedHosts() {
     avoidedHosts.clear();
   }
 
-  /** Lets the request wait in a queue of its group; has no effect if it does already. */
+  /** Adds the request to a wait queue of its group; has no effect if it is in one. */
   void enqueue() {
     if (!queued) {
       queued = true;
@@ -151,7 +156,7 @@
     }
   }
 
-  /** Takes the request out of its queue if it is in one. */
+  /** Removes the request from its wait queue if it is in one. */
   void dequeue() {
     if (queued) {
       queued = false;
@@ -163,12 +168,15 @@
     return queued;
   }
 
-  /** Retries wait in a queue of their own; attempts are added only while a request is in none. */
+  /**
+   * Retries have a queue of their own. The result stays the same while the request is queued,
+   * because attempts start only after it has left the queue.
+   */
   private WaitQueue waitQueue() {
     return hasAttempts() ? group.retries : group.firstAttempts;
   }
 
-  /** The request has its final answer, or needs none any more. */
+  /** Marks the request as finished: it has its final answer or needs none. */
   void finish() {
     finished = true;
     dequeue();
--- a/router/src/main/java/rushwood/policy/PendingRequests.java
+++ b/router/src/main/java/rushwood/policy/PendingRequests.java
@@ -10,8 +10,8 @@
 import rushwood.api.RequestId;
 
 /**
- * The requests that a router has accepted, in order of arrival: until they are finished and no
- * attempt of theirs is in flight.
+ * The requests that a router has accepted, in order of arrival. A request is kept until it is
+ * finished and has no attempt in flight.
  */
 final class PendingRequests {
   private final Map<RequestId, PendingRequest> requests = new LinkedHashMap<>();
@@ -19,7 +19,7 @@
   private final boolean canCancel;
 
   /**
-   * Creates the empty collection.
+   * Creates an empty collection.
    *
    * @param canCancel whether hosts can be told to stop an attempt
    */
@@ -34,7 +34,7 @@
     return pending;
   }
 
-  /** The request of that id, if it is here. */
+  /** Returns the request with the given id, or null if there is none. */
   @Nullable PendingRequest find(RequestId id) {
     return requests.get(id);
   }
@@ -44,7 +44,7 @@
   }
 
   /**
-   * The attempt that a result belongs to.
+   * Returns the attempt to which a result belongs.
    *
    * @throws IllegalArgumentException if this router has no such attempt
    */
@@ -57,7 +57,10 @@
     return pending.attempt(number);
   }
 
-  /** Cancels the attempt in flight, if there is one and the deployment allows it; once only. */
+  /**
+   * Cancels the attempt in flight, if there is one, it was not cancelled before and hosts can be
+   * told to stop it.
+   */
   void cancelAttempt(PendingRequest pending) {
     if (canCancel && pending.hasAttemptInFlight()) {
       Attempt attempt = pending.lastAttempt();
@@ -67,13 +70,13 @@
     }
   }
 
-  /** Ends a request: it leaves its queue, and what is in flight for it is cancelled. */
+  /** Finishes a request: removes it from its wait queue and cancels its attempt in flight. */
   void finish(PendingRequest pending) {
     cancelAttempt(pending);
     pending.finish();
   }
 
-  /** Forgets a finished request once nothing of it is in flight. */
+  /** Removes the request if it is finished and has no attempt in flight. */
   void forgetIfDone(PendingRequest pending) {
     if (pending.isFinished() && !pending.hasAttemptInFlight()) {
       requests.remove(pending.request.id());
--- a/router/src/main/java/rushwood/policy/PrimaryTracker.java
+++ b/router/src/main/java/rushwood/policy/PrimaryTracker.java
@@ -8,13 +8,13 @@
 import rushwood.api.PolicyActions;
 
 /**
- * Decides which member of a group counts as its primary. The latest evidence of a host's role
- * decides: what it claims with an answer or in a report, or that it refuses a write.
+ * Decides which member of a group counts as its primary, according to the latest evidence of each
+ * host's role: what the host claims in an answer or in a load report, or that it refuses a write.
  */
 final class PrimaryTracker {
   /**
-   * A host that refused a write is handing over: for this long it does not become the primary,
-   * whatever it claims.
+   * How long a host that refused a write does not become the primary, whatever it claims: it is
+   * handing over.
    */
   private static final long HANDOVER_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
@@ -26,7 +26,10 @@
     this.healthChecks = healthChecks;
   }
 
-  /** The endpoint list is seconds old: it only fills in where nothing better is known. */
+  /**
+   * Uses the role from the endpoint list only if nothing better is known, because the list may be
+   * seconds old.
+   */
   void endpointListed(HostState host) {
     boolean isUnknown = !host.group().hasPrimary() && !host.replication.isRoleKnown();
     if (host.endpoint().primary() && isUnknown) {
@@ -34,7 +37,9 @@
     }
   }
 
-  /** Takes in what a result says of its host's role; a refused write shows that it is a replica. */
+  /**
+   * Records the evidence of the host's role in a result. A host that refused a write is a replica.
+   */
   void attemptFinished(Attempt attempt, AttemptResult result, long now) {
     HostState host = attempt.host;
     roleObserved(host, result.role(), now);
@@ -46,8 +51,8 @@
   }
 
   /**
-   * Records a host's report. A primary's position is the present, so it is the time of the report:
-   * a delayed one cannot restore a primary that a later answer has replaced.
+   * Records a load report. The position of a primary is the time at which it made the report, so a
+   * delayed report cannot restore a primary that a later answer has replaced.
    */
   void reportReceived(HostState host, LoadReport report, long now) {
     long position = (long) report.position();
@@ -60,8 +65,8 @@
   }
 
   private void roleObserved(HostState host, HostRole role, long evidenceAt) {
-    boolean isRefutedPrimary = role == HostRole.PRIMARY && !canBePrimary(host, evidenceAt);
-    if (!host.hasGroup() || !role.isKnown() || isRefutedPrimary) {
+    boolean isClaimRefuted = role == HostRole.PRIMARY && !canBePrimary(host, evidenceAt);
+    if (!host.hasGroup() || !role.isKnown() || isClaimRefuted) {
       return;
     }
     host.replication.recordRoleEvidence(evidenceAt);
@@ -75,7 +80,10 @@
     }
   }
 
-  /** An unresponsive host is no primary until it has answered a read, nor is one handing over. */
+  /**
+   * Returns whether a claim to be the primary is credible. An unresponsive host is no primary until
+   * it has answered an attempt, nor is a host that is handing over.
+   */
   private static boolean canBePrimary(HostState host, long evidenceAt) {
     boolean isHandingOver = evidenceAt < host.replication.writeRefusedAt() + HANDOVER_NANOS;
     return !isHandingOver && !host.health.isUnresponsive();
@@ -86,7 +94,7 @@
     return primary == null || evidenceAt > primary.replication.roleKnownAt();
   }
 
-  /** Asks a member for its role while requests wait and no primary is known. */
+  /** Sends a health check to learn the role of a host, if requests wait and no primary is known. */
   void checkHealthIfPrimaryUnknown(HostState host) {
     if (host.group().needsPrimary() && !host.health.isUnreachable()) {
       healthChecks.checkHealth(host);
--- a/router/src/main/java/rushwood/policy/QueuePolicy.java
+++ b/router/src/main/java/rushwood/policy/QueuePolicy.java
@@ -4,29 +4,34 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Decides which waiting request gets a host's free slot: of those that the host may serve, the
- * first in this order:
+ * Decides which waiting request gets a free slot of a host. Among the requests that the host may
+ * serve, the order is:
  *
  * <ol>
- *   <li>requests that can still be answered within their latency objective, the earliest deadline
+ *   <li>requests that can still be answered within their latency objective, earliest deadline
  *       first;
- *   <li>the late ones, the newest first, so that scarce slots do not go to those that are about to
- *       time out.
+ *   <li>late requests, latest deadline first, so that scarce slots do not go to requests that are
+ *       about to time out.
  * </ol>
  *
- * <p>Clients that kept to a Retry-After precede what arrived meanwhile.
+ * <p>The time that a client waited because of a Retry-After moves its request ahead of those that
+ * arrived meanwhile.
  */
 final class QueuePolicy {
   /**
-   * The share of its latency objective after which a waiting read goes to any replica that can
-   * answer, or to the primary, whose slots may be idle; there it takes them from new writes.
+   * The share of its latency objective after which a waiting read may go to any replica that can
+   * answer, or to the primary. Slots of the primary may be idle, but a read there takes them from
+   * new writes.
    */
   private static final double SELECTIVE_WAIT_SHARE = 0.25;
 
-  /** Within that many expected service times nearly all answers come. */
+  /** Nearly all answers come within this many expected service times. */
   private static final double IN_TIME_MULTIPLE = 3;
 
-  /** The priority value of late requests, less their deadline: behind all that are in time. */
+  /**
+   * The priority value of a late request is this less its deadline, which places it behind all
+   * requests that are in time.
+   */
   private static final long LATE_PRIORITY = Long.MAX_VALUE - 1;
 
   private final boolean areSlotsShared;
@@ -51,7 +56,10 @@
     this.limiter = limiter;
   }
 
-  /** The request of that queue that the host gets next, if it can take one. */
+  /**
+   * Returns the request in the queue that gets a slot of the host next, or null if the host can
+   * take none.
+   */
   @Nullable PendingRequest next(WaitQueue queue, HostState host, long now) {
     if (queue.isEmpty() || !limiter.canTakeAttempt(host, now)) {
       return null;
@@ -61,9 +69,9 @@
   }
 
   /**
-   * Whether the host may serve that waiting request: a write at the primary, a read at a suitable
-   * host, if a slot is free. Other routers may have better requests for a shared slot, so that slow
-   * hosts get no late ones there.
+   * Returns whether the host may serve the waiting request: the primary a write, a suitable host a
+   * read, each with a free slot. If routers share slots, a slow host gets no late requests, because
+   * other routers may have requests in time for the same slot.
    */
   private boolean accepts(PendingRequest pending, HostState host, long now) {
     if (areSlotsShared && isLate(pending, now) && ConcurrencyLimiter.isSlow(host)) {
@@ -78,14 +86,14 @@
     return replicas.accepts(pending, host, canFallBack, now);
   }
 
-  /** The place of a waiting request in the order, the smallest first. */
+  /** Returns the priority value of a waiting request; the smallest value goes first. */
   private long priority(PendingRequest pending, long now) {
     long deadline = pending.objectiveDeadline;
     long basePriority = isLate(pending, now) ? LATE_PRIORITY - deadline : deadline;
     return basePriority - pending.request.waitedNanos();
   }
 
-  /** Whether an answer within the latency objective has become unlikely. */
+  /** Returns whether an answer within the latency objective has become unlikely. */
   private boolean isLate(PendingRequest pending, long now) {
     double expectedNanos = serviceTimes.expectedNanos(pending);
     return now + expectedNanos * IN_TIME_MULTIPLE > pending.objectiveDeadline;
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -8,16 +8,16 @@
  * Chooses the host for a read. The first case that applies:
  *
  * <ol>
- *   <li>of three or more replicas two are drawn by weight, and both are (likely to be) fresh and
- *       free: the better of the two, by the power of two choices;
- *   <li>members of the group are acceptable and free ({@link SuitabilityPolicy#isAcceptable}): the
- *       best of them;
+ *   <li>the group has at least three replicas, and two of them drawn at random by weight are both
+ *       fresh or likely fresh and have a free slot: the better of the two (power of two choices);
+ *   <li>members of the group are acceptable ({@link SuitabilityPolicy#isAcceptable}) and have a
+ *       free slot: the best of them;
  *   <li>otherwise the read waits.
  * </ol>
  *
- * <p>Better is what suits the read better ({@link SuitabilityPolicy}) or, of equally suited hosts,
- * what has fewer attempts in flight for its weight. A long read does not compare loads: it goes to
- * the first acceptable and free member in order of id.
+ * <p>The better host is the one that suits the read better ({@link SuitabilityPolicy}) or, among
+ * equally suitable hosts, the one with fewer attempts in flight per weight. For a long read, hosts
+ * are not compared: it goes to the first acceptable member with a free slot in order of id.
  */
 final class ReplicaSelector {
   private final RandomGenerator random;
@@ -42,13 +42,16 @@
     this.healthChecks = healthChecks;
   }
 
-  /** The host for a read now, or why it waits. */
+  /** Returns the host for a read, or why it waits. */
   Decision select(PendingRequest pending, long now) {
     HostState drawn = longReads.isLong(pending) ? null : selectBestOfTwo(pending, now);
     return drawn != null ? drawn.sendDecision : selectBestOfAll(pending, now);
   }
 
-  /** The better of two replicas drawn by weight, if both are (likely to be) fresh and free. */
+  /**
+   * Returns the better of two replicas drawn by weight, or null unless both are at least likely
+   * fresh and have a free slot.
+   */
   private @Nullable HostState selectBestOfTwo(PendingRequest pending, long now) {
     List<HostState> replicas = pending.group.replicas();
     if (replicas.size() <= 2) {
@@ -65,7 +68,7 @@
     return isBetter(pending, second, first, now) ? second : first;
   }
 
-  /** Draws a host with a probability in proportion to its weight, and removes it from the list. */
+  /** Removes and returns a host, drawn with a probability proportional to its weight. */
   static HostState drawByWeight(List<HostState> candidates, RandomGenerator random) {
     double remainingWeight = 0;
     for (HostState host : candidates) {
@@ -85,7 +88,10 @@
     return suitability.rate(pending, host, now).isAtLeast(Suitability.LIKELY_FRESH);
   }
 
-  /** The best acceptable and free member; of equal ones the first from a random place on. */
+  /**
+   * Chooses the best acceptable member with a free slot. Among equally good ones it is the first,
+   * in order of id from a random start.
+   */
   private Decision selectBestOfAll(PendingRequest pending, long now) {
     Suitability best = suitability.best(pending, now);
     if (best != Suitability.FRESH) {
@@ -124,9 +130,9 @@
   }
 
   /**
-   * Whether a waiting read may go to that host.
+   * Returns whether a waiting read may go to the host.
    *
-   * @param canFallBack whether any host that can answer is good enough by now, the primary too
+   * @param canFallBack whether any host that can answer is acceptable by now, including the primary
    */
   boolean accepts(PendingRequest pending, HostState host, boolean canFallBack, long now) {
     Suitability best = canFallBack ? Suitability.PRIMARY_FALLBACK : suitability.best(pending, now);
--- a/router/src/main/java/rushwood/policy/ReplicationState.java
+++ b/router/src/main/java/rushwood/policy/ReplicationState.java
@@ -3,8 +3,8 @@
 import rushwood.api.Times;
 
 /**
- * What a router has heard of a host's replication: its position and its role. Times are clock times
- * in nanoseconds, {@link Times#LONG_AGO} where nothing has been heard yet.
+ * The log position and the role of a host, as far as a router knows them. Times are clock times in
+ * nanoseconds, {@link Times#LONG_AGO} if nothing is known yet.
  */
 final class ReplicationState {
   private long position = Times.LONG_AGO;
@@ -13,17 +13,20 @@
   private long writeRefusedAt = Times.LONG_AGO;
   private long roleKnownAt = Times.LONG_AGO;
 
-  /** How far the host has applied the log, as a time; it may have applied more by now. */
+  /** Returns how far the host has applied the log, as a time; it may have applied more by now. */
   long position() {
     return position;
   }
 
-  /** When the position was last heard. */
+  /** Returns when the last valid position report was received. */
   long positionReportedAt() {
     return positionReportedAt;
   }
 
-  /** Takes in a reported position. Positions never go back; one in the future cannot be true. */
+  /**
+   * Records a reported position. The position never goes back; a reported position in the future
+   * cannot be true and is ignored.
+   */
   void recordPosition(long reported, long now) {
     if (reported <= now) {
       position = Math.max(position, reported);
@@ -31,7 +34,7 @@
     }
   }
 
-  /** When the host last refused a read because it lagged too far behind. */
+  /** Returns when the host last refused a read because it lagged too far behind. */
   long readRefusedAt() {
     return readRefusedAt;
   }
@@ -40,7 +43,7 @@
     readRefusedAt = now;
   }
 
-  /** When the host last refused a write because it was not the primary. */
+  /** Returns when the host last refused a write because it was not the primary. */
   long writeRefusedAt() {
     return writeRefusedAt;
   }
@@ -49,7 +52,7 @@
     writeRefusedAt = now;
   }
 
-  /** The time of the latest evidence of the host's role. */
+  /** Returns the time of the latest evidence of the host's role. */
   long roleKnownAt() {
     return roleKnownAt;
   }
--- a/router/src/main/java/rushwood/policy/RequestDecider.java
+++ b/router/src/main/java/rushwood/policy/RequestDecider.java
@@ -1,12 +1,12 @@
 package rushwood.policy;
 
 /**
- * Decides what happens with a request that has no attempt in flight. The first case that applies:
+ * Decides what happens to a request that has no attempt in flight. The first case that applies:
  *
  * <ol>
- *   <li>its answer deadline has come, which {@link DeadlinePolicy#answerDeadline} sets: it ends,
+ *   <li>its answer deadline ({@link DeadlinePolicy#answerDeadline}) has been reached: it ends,
  *       {@link EndReason#EXPIRED};
- *   <li>it has had all attempts that the settings allow: it ends, {@link
+ *   <li>it has used up the attempts that the settings allow: it ends, {@link
  *       EndReason#ATTEMPTS_USED_UP};
  *   <li>several attempts were answered with an error: it ends, {@link EndReason#TOO_MANY_ERRORS};
  *   <li>its retry would cost a host work, and overload control allows its group no retry: it ends,
@@ -16,13 +16,13 @@
  *       EndReason#IDEMPOTENCY_WINDOW_OVER};
  *   <li>a host can take it: it is sent there, {@link Decision.Send};
  *   <li>otherwise it waits, {@link Decision.Wait}, until {@link QueuePolicy} gives it a slot or its
- *       answer deadline comes.
+ *       answer deadline is reached.
  * </ol>
  *
  * <p>A request that ends is rejected if trying again is harmless, that is, if it is idempotent or
  * provably never ran; otherwise it fails. At its answer deadline a request ends even while an
- * attempt is in flight, which then counts as one that may have run. {@link RetryPolicy} has cases 2
- * to 6, {@link WriteSelector} and {@link ReplicaSelector} choose the host.
+ * attempt is in flight, and that attempt may have run. {@link RetryPolicy} implements cases 2 to 6;
+ * {@link WriteSelector} and {@link ReplicaSelector} choose the host.
  */
 final class RequestDecider {
   private final DeadlinePolicy deadlines;
@@ -44,7 +44,10 @@
     this.replicas = replicas;
   }
 
-  /** What happens now with a request that has just come, or whose last attempt has ended. */
+  /**
+   * Decides what to do now with a request that has just arrived, that waits or whose last attempt
+   * has ended.
+   */
   Decision decide(PendingRequest pending, long now) {
     if (deadlines.isExpired(pending, now)) {
       return end(pending, EndReason.EXPIRED);
@@ -57,7 +60,10 @@
     return pending.isWrite() ? writes.select(pending, now) : replicas.select(pending, now);
   }
 
-  /** How a request ends for that reason: rejected if trying again is harmless, else failed. */
+  /**
+   * Returns the final answer to a request that ends for the given reason: rejected if trying again
+   * is harmless, otherwise failed.
+   */
   static Decision end(PendingRequest pending, EndReason reason) {
     return RetryPolicy.isRepeatable(pending) ? reason.rejection() : reason.failure();
   }
--- a/router/src/main/java/rushwood/policy/RequestExpiry.java
+++ b/router/src/main/java/rushwood/policy/RequestExpiry.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Finds the requests whose answer deadline has come; {@link DeadlinePolicy} sets the deadlines. */
+/**
+ * Finds the requests whose answer deadline has been reached. {@link DeadlinePolicy} determines the
+ * deadlines.
+ */
 final class RequestExpiry {
   private final DeadlineQueue queue;
   private final PendingRequests requests;
@@ -15,21 +18,21 @@
     this.deadlines = deadlines;
   }
 
-  /** From now on the request is found when its deadline has come, unless it is finished by then. */
+  /** Registers a request, which is found at its answer deadline unless it is finished by then. */
   void add(PendingRequest pending) {
     queue.add(deadlines.answerDeadline(pending), pending);
   }
 
-  /** Every request is found before the router ends. */
+  /** Brings the answer deadlines of all requests forward to before the router shuts down. */
   void shuttingDown(long lastAnswerTime) {
     deadlines.shutDownAt(lastAnswerTime);
     requests.all().forEach(this::add);
   }
 
   /**
-   * Removes and returns the next unfinished request whose deadline has come, if there is one. Where
-   * a request's answer deadline has become later since it was added, as it does with the first
-   * attempt, it is added anew.
+   * Removes and returns the next unfinished request whose answer deadline has been reached, or
+   * returns null. A request whose answer deadline has become later since it was registered, as it
+   * does with the first attempt, is registered again.
    */
   @Nullable PendingRequest pollExpired(long now) {
     PendingRequest pending = queue.pollExpired(now);
@@ -41,8 +44,8 @@
   }
 
   /**
-   * The unfinished requests whose deadline has come, those included whose deadline has become
-   * earlier since they were added. It looks at all requests.
+   * Returns all unfinished requests whose answer deadline has been reached, including those whose
+   * deadline has become earlier since they were registered. Scans all requests.
    */
   List<PendingRequest> findAllExpired(long now) {
     return requests.all().stream()
--- a/router/src/main/java/rushwood/policy/RequestLifecycle.java
+++ b/router/src/main/java/rushwood/policy/RequestLifecycle.java
@@ -5,8 +5,8 @@
 import rushwood.api.RequestId;
 
 /**
- * Carries each request from its arrival to its final answer: through the wait queue, attempts and
- * their results. What happens with it {@link RequestDecider} decides.
+ * Takes each request from its arrival through wait queue and attempts to its final answer, as
+ * {@link RequestDecider} decides.
  */
 final class RequestLifecycle {
   private final PendingRequests requests;
@@ -40,7 +40,7 @@
     process(pending, now);
   }
 
-  /** Decides what happens with a request that has no attempt in flight, and does it. */
+  /** Decides what to do with a request that has no attempt in flight, and does it. */
   void process(PendingRequest pending, long now) {
     carryOut(decider.decide(pending, now), pending, now);
   }
@@ -58,7 +58,8 @@
   }
 
   /**
-   * Takes in the result of an attempt; after that its slot and its request go on.
+   * Records the result of an attempt, gives the freed slot to waiting requests and, if the request
+   * is not finished, decides what to do with it next.
    *
    * @throws IllegalArgumentException if this router has no such attempt
    */
@@ -76,7 +77,10 @@
     requests.forgetIfDone(pending);
   }
 
-  /** Ends a request whose client is gone: no answer is owed. */
+  /**
+   * Finishes a request whose client has disconnected, which needs no answer. Unknown ids are
+   * ignored.
+   */
   void clientDisconnected(RequestId request) {
     PendingRequest pending = requests.find(request);
     if (pending != null && !pending.isFinished()) {
@@ -84,12 +88,12 @@
     }
   }
 
-  /** Every request is answered before that time. */
+  /** Requires that every request is answered before the given time. */
   void shuttingDown(long lastAnswerTime) {
     expiry.shuttingDown(lastAnswerTime);
   }
 
-  /** Ends the requests whose answer deadline has come. */
+  /** Ends the requests whose answer deadline has been reached. */
   void endExpired(long now) {
     PendingRequest pending = expiry.pollExpired(now);
     while (pending != null) {
@@ -102,7 +106,10 @@
     carryOut(RequestDecider.end(pending, EndReason.EXPIRED), pending, now);
   }
 
-  /** Like {@link #endExpired(long)}, for deadlines that have become earlier too. */
+  /**
+   * Does the same as {@link #endExpired(long)}, also for requests whose answer deadline has become
+   * earlier. Scans all requests.
+   */
   void endAllExpired(long now) {
     expiry.findAllExpired(now).forEach(pending -> endExpired(pending, now));
   }
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -5,17 +5,20 @@
 import rushwood.api.OverloadSignals;
 
 /**
- * Decides whether a request may be sent (again), to which hosts and until when, and what its client
- * is told when it is rejected.
+ * Decides whether a request may be sent or retried, on which hosts and until when, and which
+ * Retry-After its client gets when it is rejected.
  *
- * <p>Safety: a request that may have run is sent again only if it is idempotent, or if it has an
- * idempotency key: then within the key's scope and window.
+ * <p>Safety: a request that may have run is sent again only if it is idempotent, or within the
+ * scope and window of its idempotency key.
  */
 final class RetryPolicy {
-  /** That many attempts with an error end a request: it may itself be at fault. */
+  /** The number of attempts with an error that ends a request, which may itself be at fault. */
   private static final int MAX_ERRORS = 2;
 
-  /** The share of an idempotency window in which retries may begin; the rest is for the network. */
+  /**
+   * The share of an idempotency window in which retries may start; the rest allows for network
+   * delays.
+   */
   private static final double WINDOW_SHARE = 0.9;
 
   private static final long NO_DEADLINE = Long.MAX_VALUE;
@@ -29,18 +32,17 @@
   }
 
   /**
-   * Why no attempt may be made now, if none may. The first case that applies:
+   * Returns why no attempt may be made now, or null if one may. The first case that applies:
    *
    * <ol>
-   *   <li>it has had all attempts that the settings allow;
+   *   <li>the request has used up the attempts that the settings allow;
    *   <li>{@value #MAX_ERRORS} attempts were answered with an error;
    *   <li>the retry would cost its host work, and the retry budget of the group is used up;
-   *   <li>it may have run, and has no idempotency key and is not idempotent;
-   *   <li>it may have run, and the window of its idempotency key is nearly over.
+   *   <li>the request may have run, is not idempotent and has no idempotency key;
+   *   <li>the request may have run, and the window of its idempotency key is nearly over.
    * </ol>
    *
-   * <p>The budget is asked before safety, so a retry that it denies may be one that was not allowed
-   * anyway.
+   * <p>The budget is checked before safety, so it may also deny a retry that would not be safe.
    */
   @Nullable EndReason findEndReason(PendingRequest pending, long now) {
     if (pending.attemptCount() >= maxAttempts) {
@@ -61,8 +63,8 @@
   }
 
   /**
-   * Whether the last attempt took work or a place in its host's queue, as a retry would again. One
-   * that was not sent, found no connection, or was refused by a lagging replica did not.
+   * Returns whether the last attempt cost its host work or a place in its queue, as a retry would
+   * again. An attempt that was not sent, found no connection or was refused by a replica did not.
    */
   static boolean isCostly(PendingRequest pending) {
     if (!pending.hasAttempts()) {
@@ -74,7 +76,7 @@
         && !last.endedWith(AttemptOutcome.REPLICA_LAGGING);
   }
 
-  /** Whether the client may repeat the request without harm: it ran nowhere, or may run twice. */
+  /** Returns whether repeating the request is harmless: it ran nowhere, or may run twice. */
   static boolean isRepeatable(PendingRequest pending) {
     return pending.isIdempotent() || !pending.isPossiblyExecuted();
   }
@@ -83,7 +85,10 @@
     return isRepeatable(pending) || (pending.hasIdempotencyKey() && now < retryDeadline(pending));
   }
 
-  /** Whether an attempt at that host is safe: an idempotency key is known only within its scope. */
+  /**
+   * Returns whether an attempt on the host is safe: an idempotency key is recognised only within
+   * its scope.
+   */
   static boolean isSafeOn(PendingRequest pending, HostState host, long now) {
     if (pending.isIdempotent()) {
       return true;
@@ -95,9 +100,9 @@
   }
 
   /**
-   * The clock time until when an attempt may begin; {@code Long.MAX_VALUE} without a limit. Its
-   * connection must not come up after the window of the idempotency key, which began with the first
-   * attempt that may have run.
+   * Returns the clock time before which an attempt has to start; {@code Long.MAX_VALUE} if there is
+   * no limit. An attempt that waits for its connection must not be sent after the window of the
+   * idempotency key, which begins with the first attempt that may have run.
    */
   static long retryDeadline(PendingRequest pending) {
     if (!pending.hasIdempotencyKey()) {
@@ -111,14 +116,14 @@
     return first.sentAt + (long) (windowNanos * WINDOW_SHARE);
   }
 
-  /** Whether a request can be sent again after a cancelled attempt, which may have run. */
+  /** Returns whether the request can be retried after a cancelled attempt, which may have run. */
   static boolean canRetryAfterCancel(PendingRequest pending) {
     return pending.isIdempotent() || pending.hasIdempotencyKey();
   }
 
   /**
-   * The Retry-After of a rejected request, in nanoseconds, 0 for none: while others wait, a quick
-   * repeat does not help.
+   * Returns the Retry-After of a rejected request in nanoseconds, 0 for none. While others wait, an
+   * immediate retry would not help.
    */
   long retryAfterNanos(PendingRequest pending, long now) {
     boolean othersWaiting = !pending.group.firstAttempts.isEmpty();
@@ -126,8 +131,9 @@
   }
 
   /**
-   * Records how an attempt ended. The request avoids the hosts that were behind or at fault. After
-   * other outcomes another host would do no better, or ejection, pauses and limits keep it away.
+   * Records how an attempt ended. The request avoids hosts that lagged or were at fault. After
+   * other outcomes another host would do no better, or ejection, pauses and limits already keep
+   * requests away from the host.
    */
   static void attemptFinished(Attempt attempt, AttemptOutcome outcome) {
     switch (outcome) {
--- a/router/src/main/java/rushwood/policy/SessionWrites.java
+++ b/router/src/main/java/rushwood/policy/SessionWrites.java
@@ -7,7 +7,7 @@
 
 /**
  * The position of the last commit of each session, for a limited number of sessions. A session that
- * was forgotten is held to the latest commit of all forgotten ones: never to less than its own.
+ * was forgotten gets the latest commit of all forgotten sessions, which is never less than its own.
  */
 final class SessionWrites {
   private final Map<SessionId, Long> commits = new LinkedHashMap<>();
@@ -28,7 +28,7 @@
   }
 
   /**
-   * The position that a read of that session, or of none, must see; {@link
+   * Returns the position that a read of the session, or of no session if null, must see; {@link
    * PendingRequest#ANY_POSITION} if no commit is known.
    */
   long lastCommit(@Nullable SessionId session) {
--- a/router/src/main/java/rushwood/policy/SlowStart.java
+++ b/router/src/main/java/rushwood/policy/SlowStart.java
@@ -4,22 +4,25 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Limits what a host gets after its process has started to a share, growing with its age, of slots
- * and of the work that warm hosts complete. So all routers together stay well below the load at
- * which a cold host collapses, without exchanging messages. Work is expected service time in
- * nanoseconds.
+ * Limits what a recently started host gets to a share of the slots of warm hosts and of the work
+ * that they complete. The share grows with the age of the process. This keeps the load from all
+ * routers together well below that at which a cold host collapses, without messages between
+ * routers. Work is expected service time in nanoseconds.
  */
 final class SlowStart {
-  /** The share of the load at which a cold host collapses that it gets; the rest is margin. */
+  /** The share of its collapse load that a cold host gets; the rest is margin. */
   private static final double SAFE_LOAD_SHARE = 0.5;
 
-  /** The same where several routers share a slot: a larger margin, for many routers. */
+  /** The same if several routers share a slot: many routers need a larger margin. */
   private static final double SAFE_LOAD_SHARE_OF_SHARED_SLOTS = 0.35;
 
-  /** How much of the work of a collapse window may come at once; more would be an early burst. */
+  /**
+   * The share of the work of a collapse window that may be sent at once; more would allow an early
+   * burst.
+   */
   private static final double BURST_SHARE = 0.25;
 
-  /** The weight of a check interval in the rate of work: about the last two seconds count. */
+  /** The weight of a check interval in the work rate, which averages about the last two seconds. */
   private static final double WORK_RATE_SMOOTHING = 0.05;
 
   private final RoutingSettings settings;
@@ -42,8 +45,8 @@
   }
 
   /**
-   * The share of its full capacity that a host of this age has at least: from the settings' share
-   * at its start to 1 after the warm-up time.
+   * Returns the share of its full capacity that a host has at least at its age: from {@link
+   * RoutingSettings#coldStartShare} at its start to 1 after the warm-up time.
    */
   private double capacityShare(HostState host, long now) {
     double age = (double) host.slowStart.ageNanos(now) / settings.warmupNanos();
@@ -55,16 +58,16 @@
     return capacityShare(host, now) == 1;
   }
 
-  /** The share of a warm host's slots and work that this host may get, at most 1. */
+  /** Returns the share of a warm host's slots and work that this host may get, at most 1. */
   double loadShare(HostState host, long now) {
     return Math.min(1, capacityShare(host, now) * settings.collapseMultiple() * safeLoadShare);
   }
 
   /**
-   * Whether the host may get that request, for its expected service time: a warm host always, a
-   * cold one within its budget. The budget grows by the host's share of the work that warm hosts
-   * complete, up to a quarter of a collapse window. Each router starts it at another level, so that
-   * their first attempts come at other times.
+   * Returns whether the host may get the request: a warm host always, a cold one if its budget
+   * covers the expected service time. The budget grows by the host's share of the work that warm
+   * hosts complete, up to {@link #BURST_SHARE} of a collapse window. Each router starts it at a
+   * random level, so that routers send their first attempts at different times.
    */
   boolean hasTokens(PendingRequest pending, HostState host, long now) {
     if (isWarm(host, now)) {
@@ -82,8 +85,9 @@
   }
 
   /**
-   * The work that a warm host of this weight completes, in nanoseconds of work a nanosecond. With
-   * none warm it is what the host's slots allow: a busy slot completes one.
+   * Returns the work that a warm host of this host's weight completes, in nanoseconds of work per
+   * nanosecond. If no host is warm, it is the concurrency limit of this host: each busy slot
+   * completes one.
    */
   private double warmHostWorkRate(HostState host, long now) {
     double rate = 0;
@@ -97,17 +101,17 @@
     return weight > 0 ? host.endpoint().weight() * rate / weight : host.concurrency.limit();
   }
 
-  /** Charges an attempt to its host's budget. */
+  /** Takes the expected work of an attempt from the budget of its host. */
   void attemptSent(Attempt attempt) {
     attempt.host.slowStart.tokens.take(serviceTimes.expectedNanos(attempt.pending));
   }
 
-  /** Counts a successful attempt as work that its host has completed. */
+  /** Counts a successful attempt as work completed by its host. */
   void answerReceived(Attempt attempt) {
     attempt.host.slowStart.recordCompletedWork(serviceTimes.expectedNanos(attempt.pending));
   }
 
-  /** Updates the host's rate of completed work; called once a check interval. */
+  /** Updates the host's rate of completed work; called once per check interval. */
   static void updateWorkRate(HostState host) {
     host.slowStart.updateWorkRate(DefaultRoutingPolicy.CHECK_INTERVAL_NANOS, WORK_RATE_SMOOTHING);
   }
--- a/router/src/main/java/rushwood/policy/SlowStartState.java
+++ b/router/src/main/java/rushwood/policy/SlowStartState.java
@@ -1,11 +1,11 @@
 package rushwood.policy;
 
 /**
- * What slow start knows of a host: the start of its process, the work that it may still get, and
- * the rate at which it completes work. Work is expected service time in nanoseconds.
+ * The start time of a host process, the work that the host may still get during slow start, and the
+ * rate at which it completes work. Work is expected service time in nanoseconds.
  */
 final class SlowStartState {
-  /** The start time of a process that started longer ago than slow start lasts. */
+  /** The start time of a process that has been running for longer than slow start lasts. */
   private static final long LONG_AGO = 0;
 
   /** Work that may still be sent to the host during slow start. */
@@ -15,7 +15,7 @@
   private long startedAt = LONG_AGO;
   private double completedWork;
 
-  /** When the process of the host started, as a clock time; 0 for long ago. */
+  /** Returns the start of the host process as a clock time in nanoseconds; 0 for long ago. */
   long startedAt() {
     return startedAt;
   }
@@ -24,12 +24,12 @@
     startedAt = time;
   }
 
-  /** How long ago the process started; the maximum if that was long ago. */
+  /** Returns the age of the host process; {@code Long.MAX_VALUE} if it started long ago. */
   long ageNanos(long now) {
     return startedAt == LONG_AGO ? Long.MAX_VALUE : now - startedAt;
   }
 
-  /** Whether the tokens have not been refilled since the process started. */
+  /** Returns whether the tokens were last refilled before the process started. */
   boolean hasTokensOfEarlierProcess() {
     return tokens.refilledAt() < startedAt;
   }
@@ -38,12 +38,15 @@
     completedWork += work;
   }
 
-  /** The work that the host completes a nanosecond, as of the last update. */
+  /** Returns the work that the host completes per nanosecond, as of the last update. */
   double completedWorkRate() {
     return completedWorkRate.value();
   }
 
-  /** Takes in what was completed in the {@code elapsedNanos} since the last update. */
+  /**
+   * Adds the work completed in the {@code elapsedNanos} since the last update to the moving
+   * average.
+   */
   void updateWorkRate(long elapsedNanos, double smoothing) {
     completedWorkRate.add(completedWork / elapsedNanos, smoothing);
     completedWork = 0;
--- a/router/src/main/java/rushwood/policy/Suitability.java
+++ b/router/src/main/java/rushwood/policy/Suitability.java
@@ -5,14 +5,14 @@
   /** Known to have applied what the read must see. */
   FRESH,
   /**
-   * Has applied it, if it is no further behind than when it was last heard of; or nothing was heard
-   * of it yet.
+   * Has applied it if its lag has not grown since its last position report, or has reported none.
    */
   LIKELY_FRESH,
-  /** Probably too far behind, but worth a try: hosts that are refuse the read or let it wait. */
+  /** Probably too far behind, but may be asked: such a host refuses the read or delays it. */
   LAGGING,
-  /** The primary, for reads that a replica could answer. */
+  /** The primary, for a read that a replica could answer. */
   PRIMARY_FALLBACK,
+  /** Must not get the read now. */
   UNSUITABLE;
 
   Suitability betterOf(Suitability other) {
--- a/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
+++ b/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
@@ -13,21 +13,27 @@
  *       Suitability#PRIMARY_FALLBACK} for the primary, else {@link Suitability#UNSUITABLE};
  *   <li>the host is the primary: {@link Suitability#FRESH} for a strongly consistent read, else
  *       {@link Suitability#PRIMARY_FALLBACK};
- *   <li>it is a replica that has applied the required position: {@link Suitability#FRESH};
- *   <li>it would answer with stale data, refused a read lately, or the read is strongly consistent:
- *       {@link Suitability#UNSUITABLE};
- *   <li>it has applied the required position by now if its lag has not grown: {@link
+ *   <li>the host is a replica that has applied the required position: {@link Suitability#FRESH};
+ *   <li>the host would answer with stale data or has recently refused a read, or the read is
+ *       strongly consistent: {@link Suitability#UNSUITABLE};
+ *   <li>the host has applied the required position by now if its lag has not grown: {@link
  *       Suitability#LIKELY_FRESH};
  *   <li>otherwise {@link Suitability#LAGGING}.
  * </ol>
  */
 final class SuitabilityPolicy {
-  /** A lagging replica is taken to apply its log at this multiple of real time. */
+  /**
+   * The speed at which a lagging replica is assumed to apply its log, as a multiple of real time.
+   */
   private static final int CATCH_UP_SPEED = 2;
 
-  /** The least and the longest time that a replica gets no read that it would refuse again. */
+  /**
+   * The shortest time for which a replica that refused a read gets no reads that it would refuse
+   * again.
+   */
   private static final long MIN_CATCH_UP_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
+  /** The longest time that a replica is assumed to need to catch up after it refused a read. */
   private static final long MAX_CATCH_UP_NANOS = 20 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   private final boolean servesStaleData;
@@ -40,7 +46,7 @@
     this.longReads = longReads;
   }
 
-  /** How well the host suits the read now. */
+  /** Returns how well the host suits the read now. */
   Suitability rate(PendingRequest pending, HostState host, long now) {
     if (!outliers.isUsable(host, now) || pending.avoids(host)) {
       return Suitability.UNSUITABLE;
@@ -59,7 +65,7 @@
     if (servesStaleData || needsPrimary || hasRecentlyRefused(host, lagNanos, now)) {
       return Suitability.UNSUITABLE;
     }
-    // Also true of a host that was never heard of: nothing speaks against it.
+    // Also true of a host that has reported no position: nothing suggests that it lags.
     boolean isLikely = lagNanos <= now - host.replication.positionReportedAt();
     return isLikely ? Suitability.LIKELY_FRESH : Suitability.LAGGING;
   }
@@ -71,13 +77,13 @@
     return host.isPrimary() ? Suitability.PRIMARY_FALLBACK : Suitability.UNSUITABLE;
   }
 
-  /** Whether the host refused a read so lately that it cannot have caught up since. */
+  /** Returns whether the host refused a read so recently that it cannot have caught up since. */
   private static boolean hasRecentlyRefused(HostState host, long lagNanos, long now) {
     long catchUpNanos = Math.min(MAX_CATCH_UP_NANOS, lagNanos / CATCH_UP_SPEED);
     return host.replication.readRefusedAt() > now - Math.max(MIN_CATCH_UP_NANOS, catchUpNanos);
   }
 
-  /** The suitability of the best member of the request's group. */
+  /** Returns the suitability of the most suitable member of the request's group. */
   Suitability best(PendingRequest pending, long now) {
     Suitability best = Suitability.UNSUITABLE;
     for (HostState host : pending.group.members()) {
@@ -86,7 +92,11 @@
     return best;
   }
 
-  /** Whether a host is good enough, given the best of its group: reads wait only for fresh ones. */
+  /**
+   * Returns whether a host is good enough for a read, given the best suitability in its group.
+   * Reads wait for a free slot only at hosts that are fresh or likely fresh, if one of the group is
+   * fresh.
+   */
   static boolean isAcceptable(Suitability suitability, Suitability best) {
     return switch (best) {
       case FRESH -> suitability.isAtLeast(Suitability.LIKELY_FRESH);
--- a/router/src/main/java/rushwood/policy/TokenBucket.java
+++ b/router/src/main/java/rushwood/policy/TokenBucket.java
@@ -1,11 +1,13 @@
 package rushwood.policy;
 
-/** A token bucket; its owner decides rate and capacity, which may change between refills. */
+/**
+ * A token bucket. Its owner determines the rate and the capacity, which may change between refills.
+ */
 final class TokenBucket {
   private double tokens;
   private long refilledAt;
 
-  /** When the bucket was last filled by time; 0 if it never was. */
+  /** Returns when the bucket was last reset or refilled over time; 0 if never. */
   long refilledAt() {
     return refilledAt;
   }
@@ -15,7 +17,9 @@
     refilledAt = now;
   }
 
-  /** Adds what has accrued since the last refill at {@code rate} tokens a nanosecond. */
+  /**
+   * Adds the tokens that have accrued since the last refill, at {@code rate} tokens per nanosecond.
+   */
   void refill(double rate, double capacity, long now) {
     add(rate * (now - refilledAt), capacity);
     refilledAt = now;
@@ -29,7 +33,7 @@
     return tokens >= amount;
   }
 
-  /** Takes tokens out; the bucket may go below zero, which later refills make up for. */
+  /** Takes tokens. The balance may become negative; later refills make up for it. */
   void take(double amount) {
     tokens -= amount;
   }
--- a/router/src/main/java/rushwood/policy/WaitQueue.java
+++ b/router/src/main/java/rushwood/policy/WaitQueue.java
@@ -6,7 +6,7 @@
 import java.util.function.ToLongFunction;
 import org.jspecify.annotations.Nullable;
 
-/** Requests that wait for a free slot in one group, in order of arrival in the queue. */
+/** Requests of one group that wait for a free slot, in the order in which they were added. */
 final class WaitQueue {
   private final List<PendingRequest> requests = new ArrayList<>();
 
@@ -27,9 +27,10 @@
   }
 
   /**
-   * Returns the eligible request with the smallest priority value, the earliest of equal ones, if
-   * there is one. Eligibility is tested in queue order, and only for requests whose value is below
-   * the best one so far: the test may draw random numbers.
+   * Returns the eligible request with the smallest priority value, or null if none is eligible. Of
+   * equal values, the one added first is returned. Eligibility is tested in queue order, and only
+   * for requests whose value is below the best one so far, because the test may draw random
+   * numbers.
    */
   @Nullable PendingRequest findFirst(
       ToLongFunction<PendingRequest> priority, Predicate<PendingRequest> isEligible) {
--- a/router/src/main/java/rushwood/policy/WriteSelector.java
+++ b/router/src/main/java/rushwood/policy/WriteSelector.java
@@ -5,18 +5,20 @@
  *
  * <ol>
  *   <li>the primary is known and usable: the write goes there, or waits until a slot is free;
- *   <li>another write is looking for the primary, or this one has tried its part: it waits;
- *   <li>a usable member of unknown role has a free slot: the write goes to the first such member in
+ *   <li>another write is searching for the primary, or this one has used up its attempts for that:
+ *       it waits;
+ *   <li>usable members of unknown role have a free slot: the write goes to the first of them in
  *       order of id, to find out whether that is the primary;
  *   <li>otherwise it waits.
  * </ol>
  */
 final class WriteSelector {
-  /** How long evidence of a role counts while no primary is known. */
+  /** How long evidence of a host's role counts while no primary is known. */
   private static final long ROLE_TTL_NANOS = 3 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   /**
-   * One attempt in this many may look for the primary; the others are left for the write itself.
+   * One attempt in this many may be used to search for the primary; the others are left for the
+   * write itself.
    */
   private static final int DISCOVERY_DIVISOR = 2;
 
@@ -30,7 +32,7 @@
     this.limiter = limiter;
   }
 
-  /** The host for a write now, or why it waits. */
+  /** Returns the host for a write, or why it waits. */
   Decision select(PendingRequest pending, long now) {
     HostState primary = pending.group.primary();
     if (primary != null && outliers.isUsable(primary, now)) {
@@ -42,7 +44,10 @@
         : Decision.Wait.PRIMARY_UNKNOWN;
   }
 
-  /** One write at a time looks for the primary: at each member once, with half of its attempts. */
+  /**
+   * Returns whether the write may search for the primary. One write at a time may, at each member
+   * once and with a part of its attempts.
+   */
   private boolean canDiscoverPrimary(PendingRequest pending) {
     GroupState group = pending.group;
     return !group.isDiscoveringPrimary()
@@ -63,7 +68,7 @@
     return !host.isPrimary() && host.replication.roleKnownAt() < now - ROLE_TTL_NANOS;
   }
 
-  /** Whether a waiting write may go to that host: to the known primary alone. */
+  /** Returns whether a waiting write may go to the host, which has to be the known primary. */
   boolean accepts(PendingRequest pending, HostState host, long now) {
     return host.isPrimary() && isFree(pending, host, now);
   }
