--- a/router/src/main/java/rushwood/policy/DeadlinePolicy.java
+++ b/router/src/main/java/rushwood/policy/DeadlinePolicy.java
@@ -59,8 +59,8 @@
    * deadline of a request moves while the load of the router changes.
    *
    * <p>A request that was never sent, and whose answer is worth nothing after its latency
-   * objective, ends at half of its time: by then an answer within the objective is unlikely, and
-   * its client can still retry.
+   * objective, ends shortly before the midpoint between its arrival and its deadline: by then an
+   * answer within the objective is unlikely, and its client can still retry.
    */
   long answerDeadline(PendingRequest pending) {
     long deadline = Math.min(pending.request.deadline(), shutdownAt) - answerReserveNanos();
--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -107,7 +107,7 @@
     PendingRequest pending = attempt.pending;
     double retryEnd = now + serviceTimes.expectedNanos(pending);
     boolean canRetryInTime = attempt.isPresumedLost() && retryEnd < pending.objectiveDeadline;
-    boolean isUnresponsive = attempt.host.health.isUnresponsive() && isLate(attempt, now);
-    return (canRetryInTime || isUnresponsive) && RetryPolicy.canRetryAfterCancel(pending);
+    boolean isLateAtUnresponsiveHost = attempt.host.health.isUnresponsive() && isLate(attempt, now);
+    return (canRetryInTime || isLateAtUnresponsiveHost) && RetryPolicy.canRetryAfterCancel(pending);
   }
 }
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -14,8 +14,11 @@
  * <table>
  *   <caption>Transitions</caption>
  *   <tr><th>from</th><th>to</th><th>when</th></tr>
- *   <tr><td>any</td><td>unreachable</td><td>a connection to the host cannot be opened, and the host has not answered since that attempt was sent; or the connection of its only attempt in flight breaks</td></tr>
- *   <tr><td>healthy</td><td>unresponsive</td><td>more than {@value #MAX_MISSING_ANSWERS} answers are missing</td></tr>
+ *   <tr><td>any</td><td>unreachable</td><td>an attempt cannot connect, and the host has not
+ *       answered since that attempt was sent; or the connection of its only attempt in flight
+ *       breaks</td></tr>
+ *   <tr><td>healthy</td><td>unresponsive</td><td>more than {@value #MAX_MISSING_ANSWERS} answers
+ *       are missing</td></tr>
  *   <tr><td>unreachable</td><td>healthy</td><td>the host answers a health check</td></tr>
  *   <tr><td>unresponsive</td><td>healthy</td><td>the host answers an attempt</td></tr>
  * </table>
@@ -25,8 +28,8 @@
  */
 final class OutlierDetector {
   /**
-   * The number of missing answers above which a host is ejected. By chance, so many are missing
-   * once in 100,000 cases.
+   * The number of missing answers above which a host is ejected. The probability that so many are
+   * missing by chance is 1 in 100,000.
    */
   private static final double MAX_MISSING_ANSWERS = 12;
 
@@ -36,7 +39,7 @@
    */
   private static final long MAX_WARM_OUTAGE_NANOS = 2 * HealthCheckPolicy.TRIAL_INTERVAL_NANOS;
 
-  /** How long a host gets no attempts after one needed a connection that is not allowed. */
+  /** How long a host gets no attempts after an attempt needed a connection that is not allowed. */
   private static final long CONNECT_PAUSE_NANOS = DefaultRoutingPolicy.CHECK_INTERVAL_NANOS / 2;
 
   private final PolicyActions actions;
--- a/router/src/main/java/rushwood/policy/QueuePolicy.java
+++ b/router/src/main/java/rushwood/policy/QueuePolicy.java
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Returns whether the host may serve the waiting request: the primary a write, a suitable host a
-   * read, each with a free slot. If routers share slots, a slow host gets no late requests, because
-   * other routers may have requests in time for the same slot.
+   * Returns whether the host may serve the waiting request, a write only as the primary, a read
+   * only if it suits the read, and has a free slot for it. If routers share slots, a slow host gets
+   * no late requests, because requests of other routers may still be in time for the same slot.
    */
   private boolean accepts(PendingRequest pending, HostState host, long now) {
     if (areSlotsShared && isLate(pending, now) && ConcurrencyLimiter.isSlow(host)) {
--- a/router/src/test/java/rushwood/policy/AdjustableOverloadSignals.java
+++ b/router/src/test/java/rushwood/policy/AdjustableOverloadSignals.java
@@ -6,7 +6,7 @@
 import rushwood.api.Request;
 import rushwood.api.RoutingSettings;
 
-/** The signals of a router without overload control, but for what a test sets. */
+/** Signals that a test sets; by default those of a router without overload control. */
 final class AdjustableOverloadSignals implements OverloadSignals {
   private final OverloadSignals defaults;
   long answerDelayNanos;
--- a/router/src/test/java/rushwood/policy/AnswerDelayTest.java
+++ b/router/src/test/java/rushwood/policy/AnswerDelayTest.java
@@ -18,7 +18,7 @@
 import rushwood.api.RoutingSettings;
 import rushwood.api.ZoneId;
 
-/** When a request is answered by a router whose answers leave late. */
+/** Tests when a request is answered if answers leave the router late. */
 class AnswerDelayTest {
   private static final long MILLISECOND = 1_000_000L;
   private static final long DEADLINE = 1_000 * MILLISECOND;
@@ -80,7 +80,7 @@
     assertEquals(List.of(990L), timeoutsMillis);
   }
 
-  /** The delay is seen only while the host has the request. */
+  /** The delay becomes known only while the host is processing the request. */
   @Test
   void rejectsEarlierByTwiceADelayThatStartsAfterArrival() {
     receive("r", 0);
@@ -109,7 +109,7 @@
     assertEquals(List.of(600L), timeoutsMillis);
   }
 
-  /** A pause of seconds must not have every request rejected that comes after it. */
+  /** After a pause of seconds, not every later request may be rejected. */
   @Test
   void reservesAtMost400Milliseconds() {
     signals.answerDelayNanos = 5_000 * MILLISECOND;
--- a/router/src/test/java/rushwood/policy/ConnectPauseTest.java
+++ b/router/src/test/java/rushwood/policy/ConnectPauseTest.java
@@ -22,7 +22,7 @@
 import rushwood.api.RoutingSettings;
 import rushwood.api.ZoneId;
 
-/** Requests that wait while the connect backoff allows no connection to their only host. */
+/** Tests requests whose only host cannot be connected to because of the connect backoff. */
 class ConnectPauseTest {
   private static final long MILLISECOND = 1_000_000L;
   private static final GroupId GROUP = new GroupId(0);
@@ -82,7 +82,10 @@
             LoadReport.NONE));
   }
 
-  /** One attempt shows that no connection may be opened: the others are not used up as well. */
+  /**
+   * One attempt shows that no connection may be opened; the attempts of other requests are not used
+   * up as well.
+   */
   @Test
   void requestsWaitOnceAnAttemptMayNotConnect() {
     signals.canConnect = false;
@@ -93,7 +96,10 @@
     assertEquals(List.of("r1"), sent);
     signals.canConnect = true;
     policy.timerFired(100 * MILLISECOND);
-    assertEquals(List.of("r1", "r2", "r3", "r1"), sent, "r1 too, once it avoids no host");
+    assertEquals(
+        List.of("r1", "r2", "r3", "r1"),
+        sent,
+        "r1 is sent again once it has forgotten the hosts that it avoided");
   }
 
   @Test
@@ -108,7 +114,7 @@
     assertEquals(List.of("r0", "r1", "r2"), sent);
   }
 
-  /** An idle connection that the host had closed says nothing of the next one. */
+  /** An idle connection that the host had closed is no evidence that the next one fails. */
   @Test
   void hostIsNotPausedWhileConnectsAreAllowed() {
     receive("r1", 0);
--- a/router/src/test/java/rushwood/policy/DefaultRoutingPolicyTest.java
+++ b/router/src/test/java/rushwood/policy/DefaultRoutingPolicyTest.java
@@ -14,7 +14,7 @@
 import rushwood.api.RequestId;
 import rushwood.api.RoutingSettings;
 
-/** What callers get who name what the policy does not know; {@link ScenarioTest} has the rest. */
+/** Tests calls with ids that the policy does not know; {@link ScenarioTest} covers the rest. */
 class DefaultRoutingPolicyTest {
   private static final HostId HOST = new HostId("a");
 
--- a/router/src/test/java/rushwood/policy/PolicyFilesTest.java
+++ b/router/src/test/java/rushwood/policy/PolicyFilesTest.java
@@ -14,12 +14,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the deployment asks of the files that `policy` names in deploy/balancer.toml. */
+/**
+ * Tests the requirements of the deployment on the files that {@code policy} lists in
+ * deploy/balancer.toml.
+ */
 class PolicyFilesTest {
   private static final Path ROOT = Path.of("..");
   private static final int MAX_COLUMNS = 110;
 
-  /** A clock, I/O, threads, a random source of its own, or a static that is not final. */
+  /** A clock, I/O, threads, a random generator of its own, or a static field that is not final. */
   private static final Pattern FORBIDDEN =
       Pattern.compile(
           "System\\.|java\\.time|java\\.io|java\\.nio|java\\.net\\b|java\\.util\\.concurrent"
@@ -28,7 +31,7 @@
 
   private static final Path PACKAGE = Path.of("src/main/java/rushwood/policy");
 
-  /** Names of types that decide something. */
+  /** File names of types that make decisions. */
   private static final Pattern DECIDING_TYPE =
       Pattern.compile(".*(Policy|Selector|Detector|Decider|Limiter|Tracker)\\.java");
 
@@ -38,7 +41,7 @@
   /** A number other than 0 and 1. */
   private static final Pattern NUMBER = Pattern.compile("\\b(?!(?:0|1)L?\\b(?!\\.))\\d[\\w.]*");
 
-  /** Half of the least value: a time before any clock time. */
+  /** The value of {@code Times.LONG_AGO}, a time before any clock time. */
   private static final String SENTINEL = "Long.MIN_VALUE / 2";
 
   private static List<Path> policyFiles() throws IOException {
@@ -117,7 +120,7 @@
     assertEquals(List.of(), found);
   }
 
-  /** The files of the package that the list does not name. */
+  /** Returns the files of the package that the deploy file does not list. */
   private static List<Path> otherFiles() throws IOException {
     List<String> listed =
         policyFiles().stream().map(file -> file.getFileName().toString()).toList();
--- a/router/src/test/java/rushwood/policy/PolicyFixtures.java
+++ b/router/src/test/java/rushwood/policy/PolicyFixtures.java
@@ -9,13 +9,13 @@
 import rushwood.api.RequestId;
 import rushwood.api.ZoneId;
 
-/** Objects that tests of single classes of the policy need. */
+/** Creates objects for tests of single classes of the policy. */
 final class PolicyFixtures {
   static final long SECOND = 1_000_000_000L;
 
   private PolicyFixtures() {}
 
-  /** A listed host that serves no group yet, with a concurrency limit of 1. */
+  /** Returns a listed host that serves no group yet, with a concurrency limit of 1. */
   static HostState host(String id, double weight) {
     Endpoint endpoint =
         new Endpoint(
@@ -29,7 +29,9 @@
     return new HostState(endpoint, 1);
   }
 
-  /** An idempotent read of class 0 that arrives at time 0, with a deadline a second later. */
+  /**
+   * Returns an idempotent read of class 0 that arrives at time 0 and has a deadline of one second.
+   */
   static PendingRequest pendingRead(String id) {
     return pendingRead(id, new GroupState());
   }
--- a/router/src/test/java/rushwood/policy/RequestDeciderTest.java
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -22,7 +22,7 @@
 import rushwood.api.RoutingSettings.LaggingReadBehavior;
 import rushwood.api.ZoneId;
 
-/** Each case in which a request is sent, waits, is rejected or fails, with its reason. */
+/** Tests each case in which a request is sent, waits, is rejected or fails, with its reason. */
 class RequestDeciderTest {
   private static final long MILLISECOND = 1_000_000L;
   private static final long NOW = 1_000_000 * MILLISECOND;
--- a/router/src/test/java/rushwood/policy/ScenarioPlayer.java
+++ b/router/src/test/java/rushwood/policy/ScenarioPlayer.java
@@ -27,33 +27,33 @@
 import rushwood.policy.ScenarioScript.Command;
 
 /**
- * Plays a scenario against a routing policy. Times are milliseconds since its start; words in
- * brackets may be left out.
+ * Runs a scenario against a routing policy. Times are milliseconds since the start of the scenario;
+ * words in brackets are optional.
  *
  * <pre>
- * set SETTING VALUE                before the first event; the settings are listed below
+ * set SETTING VALUE                before the first event; see {@link #defaultSettings}
  * class NAME IDEMPOTENCY CONSISTENCY [bound MS] [objective MS] [deadline MS] [window MS]
  *     [scope SCOPE] [late SHARE]   defines a request class; CONSISTENCY may be WRITE
  * host NAME [primary yes] [state STATE] [started MS] [group N] [zone Z]
- *                                  defines an endpoint, or defines it anew
- * at MS                            moves the clock there, firing timers on the way
- * endpoints HOST...                the complete endpoint list; at the start the cached one
+ *                                  defines or redefines an endpoint
+ * at MS                            advances the clock and fires the timers until then
+ * endpoints HOST...                the complete endpoint list; at time 0 the cached one
  * update HOST...                   changed endpoints
  * refresh-fails                    a request for the endpoint list failed
  * request NAME CLASS [deadline MS from now] [session S] [group N]
  * result NAME OUTCOME [from HOST] [role ROLE] [took MS] [position MS] [reports ROLE]
- *                                  the end of the last attempt, or of the one at that host
+ *                                  ends the last attempt, or the last one at that host
  * health-check-result HOST yes|no [position MS] [reports ROLE]
- * disconnect NAME                  the client of the request goes away
- * shutdown MS                      the router is to end at that time
+ * disconnect NAME                  the client of the request disconnects
+ * shutdown MS                      the router shuts down at that time
  * </pre>
  *
- * <p>What the policy does becomes a list of lines: {@code send REQUEST HOST}, {@code cancel REQUEST
- * ATTEMPT}, {@code reject REQUEST RETRY-AFTER}, {@code fail REQUEST}, {@code check-health HOST},
- * {@code subscribe} and {@code log TEXT}. {@code expect PATTERN} takes the next line that matches,
- * passing over others; {@code never PATTERN} fails if a line since the last expected one matches;
- * {@code count N PATTERN} fails unless N lines since the last {@code mark} match. A pattern matches
- * the beginning of a line word by word; * stands for any word.
+ * <p>Each action of the policy is recorded as a line: {@code send REQUEST HOST}, {@code cancel
+ * REQUEST ATTEMPT}, {@code reject REQUEST RETRY-AFTER}, {@code fail REQUEST}, {@code check-health
+ * HOST}, {@code subscribe} or {@code log TEXT}. {@code expect PATTERN} skips to the next line that
+ * matches and fails if there is none; {@code never PATTERN} fails if a line after the last expected
+ * one matches; {@code count N PATTERN} fails unless N lines since the last {@code mark} match. A
+ * pattern matches the beginning of a line word by word; * matches any word.
  */
 final class ScenarioPlayer implements PolicyActions {
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -267,7 +267,10 @@
     }
   }
 
-  /** Whether the words of the command from that index on match the beginning of the line. */
+  /**
+   * Returns whether the words of the command from {@code patternStart} on match the beginning of
+   * the line.
+   */
   private static boolean matches(Command command, int patternStart, String line) {
     List<String> pattern = command.words().subList(patternStart, command.words().size());
     String[] words = line.split(" ");
--- a/router/src/test/java/rushwood/policy/ScenarioScript.java
+++ b/router/src/test/java/rushwood/policy/ScenarioScript.java
@@ -7,25 +7,28 @@
 import java.util.List;
 
 /**
- * Reads a scenario into commands. Empty lines and lines that start with # are passed over. The
- * lines between {@code repeat COUNT STEP VARIABLE} and {@code end} stand for COUNT copies of them:
- * in each the time of {@code at} is STEP milliseconds later than in the one before, and $VARIABLE
- * stands for the number of the copy, from 0.
+ * Parses a scenario into commands. Empty lines and lines that start with # are skipped. The lines
+ * between {@code repeat COUNT STEP VARIABLE} and {@code end} are repeated COUNT times: with each
+ * repetition the time of {@code at} commands grows by STEP milliseconds, and $VARIABLE is replaced
+ * by the index of the repetition, from 0.
  */
 final class ScenarioScript {
-  /** One command: its words, and the file and line that it stands in. */
+  /** One command: its words, and its file and line. */
   record Command(List<String> words, String source) {
-    /** The first word, which says what the command does. */
+    /** Returns the first word, which determines the kind of command. */
     String name() {
       return words.get(0);
     }
 
-    /** The word at that place, counted from the name at 0. */
+    /** Returns the word at the given index; the name has index 0. */
     String word(int index) {
       return words.get(index);
     }
 
-    /** The word after that key, or {@code defaultValue} if the command does not have the key. */
+    /**
+     * Returns the word after the given key, or the default value if the command does not have the
+     * key.
+     */
     String operand(String key, String defaultValue) {
       int index = words.subList(1, words.size()).indexOf(key);
       return index < 0 || index + 2 >= words.size() ? defaultValue : words.get(index + 2);
--- a/router/src/test/java/rushwood/policy/ScenarioTest.java
+++ b/router/src/test/java/rushwood/policy/ScenarioTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario of the routing policy; {@link ScenarioPlayer} explains their words. */
+/** Runs every scenario of the routing policy; {@link ScenarioPlayer} describes the commands. */
 class ScenarioTest {
   private static final Path FOLDER = Path.of("src/test/resources/scenarios");
 
--- a/router/src/test/java/rushwood/policy/SlowStartSimulation.java
+++ b/router/src/test/java/rushwood/policy/SlowStartSimulation.java
@@ -26,8 +26,8 @@
 import rushwood.api.ZoneId;
 
 /**
- * Simulates, in virtual time, many routers and four hosts, of which one has just started. Request
- * rate, service times, slots and the hosts' cold start are drawn from a seed.
+ * Simulates many routers and four hosts, one of which has just started, in virtual time. The
+ * request rate, the service times, the slots and the cold start of the hosts are drawn from a seed.
  */
 final class SlowStartSimulation {
   /** What happens while the host is cold. */
@@ -45,11 +45,15 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final long START_TIME = 1_000_000_000 * NANOS_PER_MILLI;
 
-  /** By then the host bears several times as much as at first. */
+  /** By the end, the cold host bears several times its initial load. */
   private static final long DURATION_NANOS = 8_000 * NANOS_PER_MILLI;
 
+  /** How long the routers run before the cold host starts. */
   private static final long LEAD_TIME_NANOS = 3_000 * NANOS_PER_MILLI;
+
+  /** The time from the start of the cold host until the burst begins or the other hosts fail. */
   private static final long CHANGE_DELAY_NANOS = 2_500 * NANOS_PER_MILLI;
+
   private static final long REQUEST_TIMEOUT_NANOS = 1_500 * NANOS_PER_MILLI;
   private static final int HOST_COUNT = 4;
   private static final HostId PRIMARY = new HostId("h0");
@@ -139,8 +143,9 @@
   }
 
   /**
-   * The most by which the attempts of any collapse window exceeded what the cold host bears: N
-   * attempts of mean work, and 2 x root of N + 2 for chance. Negative if no window did.
+   * Returns the most by which the attempts of any collapse window exceed what the cold host bears:
+   * N attempts of mean work, plus 2 * sqrt(N) + 2 to allow for chance. Negative if no window
+   * exceeds that.
    */
   double maxExcess() {
     double maxExcess = Double.NEGATIVE_INFINITY;
@@ -156,7 +161,7 @@
     return maxExcess;
   }
 
-  /** The attempts that the cold host bears in a collapse window when it has just started. */
+  /** Returns the attempts that the cold host bears in a collapse window right after its start. */
   double initialCapacity() {
     return capacity(START_TIME);
   }
@@ -169,7 +174,7 @@
         / meanServiceTimeNanos;
   }
 
-  /** The share of its capacity that the cold host has at the least. */
+  /** Returns the minimum share of its capacity that the cold host has at the given time. */
   private double coldShare(long time) {
     double initial = settings.coldStartShare();
     return Math.min(1, initial + (1 - initial) * (time - START_TIME) / settings.warmupNanos());
@@ -185,7 +190,7 @@
     events.add(new Event(Math.max(time, now), nextSequenceNumber++, task));
   }
 
-  /** A number drawn from the exponential distribution with mean 1. */
+  /** Draws a number from the exponential distribution with mean 1. */
   private double drawExponential() {
     return -Math.log(1 - random.nextDouble());
   }
@@ -202,7 +207,7 @@
       }
     }
 
-    /** Serves a request in the slot that is free first; returns when it is done. */
+    /** Serves a request in the first slot that becomes free; returns the time of its completion. */
     long serve() {
       double duration = drawExponential() * meanServiceTimeNanos / (isCold ? coldShare(now) : 1);
       long doneAt = Math.max(now, slotsFreeAt.poll()) + (long) duration;
@@ -211,7 +216,7 @@
     }
   }
 
-  /** A router with its traffic. Hosts do not cancel: they do the work of every attempt. */
+  /** A router and its clients. Hosts do not cancel attempts: they do the work of each one. */
   private final class Router extends NoPolicyActions {
     private final int number;
     private final double trafficShare;
@@ -226,7 +231,10 @@
       this.trafficShare = trafficShare;
     }
 
-    /** Starts with the cold host, or before and hears of the cold host when it starts. */
+    /**
+     * Starts the router together with the cold host, or earlier, in which case the cold host is
+     * listed when it starts.
+     */
     void start(long meanRequestIntervalNanos) {
       this.meanRequestIntervalNanos = meanRequestIntervalNanos;
       if (situation == Situation.ROUTERS_START || situation == Situation.ALL_START) {
