--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -5,17 +5,17 @@
 import rushwood.api.PolicyActions;
 
 /**
- * The deadlines of a router's requests in order of time, equal ones in order of entry; and the one
- * timer that it has asked for.
+ * Requests in order of their deadlines, those with equal deadlines in order of insertion, and the
+ * one timer that is set for them. Times are clock times in nanoseconds.
  */
 final class DeadlineQueue {
-  private record Entry(long deadline, long order, PendingRequest pending)
+  private record Entry(long deadline, long sequenceNumber, PendingRequest pending)
       implements Comparable<Entry> {
     @Override
     public int compareTo(Entry other) {
       return deadline != other.deadline
           ? Long.compare(deadline, other.deadline)
-          : Long.compare(order, other.order);
+          : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
@@ -23,7 +23,7 @@
 
   private final PriorityQueue<Entry> entries = new PriorityQueue<>();
   private final PolicyActions actions;
-  private long nextOrder;
+  private long nextSequenceNumber;
   private long timerAt = NO_TIMER;
 
   DeadlineQueue(PolicyActions actions) {
@@ -31,11 +31,14 @@
   }
 
   void add(long deadline, PendingRequest pending) {
-    entries.add(new Entry(deadline, nextOrder++, pending));
+    entries.add(new Entry(deadline, nextSequenceNumber++, pending));
     requestTimer(deadline);
   }
 
-  /** Removes and returns the next unfinished request whose deadline has come, if there is one. */
+  /**
+   * Removes and returns the unfinished request with the earliest deadline, or returns null if that
+   * deadline has not been reached.
+   */
   @Nullable PendingRequest pollExpired(long now) {
     return earliestDeadline() <= now ? entries.poll().pending() : null;
   }
@@ -47,7 +50,7 @@
     return entries.isEmpty() ? NO_TIMER : entries.peek().deadline();
   }
 
-  /** Asks to be called at that time, unless an earlier call is due. */
+  /** Requests a timer for the given time, unless one is set for that time or earlier. */
   void requestTimer(long time) {
     if (time < timerAt) {
       timerAt = time;
@@ -55,7 +58,10 @@
     }
   }
 
-  /** Called when the timer has fired: asks for the next, at that time or the earliest deadline. */
+  /**
+   * Requests the next timer after one has fired: for the given time or the earliest deadline,
+   * whichever comes first.
+   */
   void rearm(long time) {
     timerAt = NO_TIMER;
     requestTimer(Math.min(time, earliestDeadline()));
--- a/router/src/test/java/rushwood/policy/AnswerDelayTest.java
+++ b/router/src/test/java/rushwood/policy/AnswerDelayTest.java
@@ -18,7 +18,7 @@
 import rushwood.api.RoutingSettings;
 import rushwood.api.ZoneId;
 
-/** When a request is answered by a router whose answers leave late. */
+/** Tests when a request is answered if answers leave the router late. */
 class AnswerDelayTest {
   private static final long MILLISECOND = 1_000_000L;
   private static final long DEADLINE = 1_000 * MILLISECOND;
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void answersAMarginBeforeTheDeadlineWithoutDelay() {
+  void rejectsAtTimerMarginBeforeDeadlineWithoutDelay() {
     receive("r", 0);
     fireTimer(989);
     assertEquals(List.of(), rejected);
@@ -80,11 +80,11 @@
     assertEquals(List.of(990L), timeoutsMillis);
   }
 
-  /** The delay is seen only while the host has the request. */
+  /** The delay becomes known only while the host is processing the request. */
   @Test
-  void answersEarlierByTwiceADelayThatBeginsLater() {
+  void rejectsEarlierByTwiceADelayThatStartsAfterArrival() {
     receive("r", 0);
-    signals.answerDelay = 100 * MILLISECOND;
+    signals.answerDelayNanos = 100 * MILLISECOND;
     fireTimer(700);
     assertEquals(List.of(), rejected);
     fireTimer(800);
@@ -92,10 +92,10 @@
   }
 
   @Test
-  void answersAsUsualOnceTheDelayIsOver() {
-    signals.answerDelay = 100 * MILLISECOND;
+  void rejectsAtTimerMarginOnceDelayIsOver() {
+    signals.answerDelayNanos = 100 * MILLISECOND;
     receive("r", 0);
-    signals.answerDelay = 0;
+    signals.answerDelayNanos = 0;
     fireTimer(980);
     assertEquals(List.of(), rejected);
     fireTimer(990);
@@ -103,16 +103,16 @@
   }
 
   @Test
-  void tellsTheHostTheTimeThatIsLeftWithoutTwiceTheDelay() {
-    signals.answerDelay = 150 * MILLISECOND;
+  void attemptTimeoutExcludesTwiceTheDelay() {
+    signals.answerDelayNanos = 150 * MILLISECOND;
     receive("r", 100);
     assertEquals(List.of(600L), timeoutsMillis);
   }
 
-  /** A pause of seconds must not have every request rejected that comes after it. */
+  /** After a pause of seconds, not every later request may be rejected. */
   @Test
-  void setsAsideFourTenthsOfASecondAtMost() {
-    signals.answerDelay = 5_000 * MILLISECOND;
+  void reservesAtMost400Milliseconds() {
+    signals.answerDelayNanos = 5_000 * MILLISECOND;
     receive("r", 100);
     assertEquals(List.of(500L), timeoutsMillis);
   }
--- a/router/src/test/java/rushwood/policy/ConnectPauseTest.java
+++ b/router/src/test/java/rushwood/policy/ConnectPauseTest.java
@@ -22,7 +22,7 @@
 import rushwood.api.RoutingSettings;
 import rushwood.api.ZoneId;
 
-/** Requests that wait while the connect backoff allows no connection to their only host. */
+/** Tests requests whose only host cannot be connected to because of the connect backoff. */
 class ConnectPauseTest {
   private static final long MILLISECOND = 1_000_000L;
   private static final GroupId GROUP = new GroupId(0);
@@ -82,24 +82,30 @@
             LoadReport.NONE));
   }
 
-  /** One attempt shows that no connection may be opened: the others are not used up as well. */
+  /**
+   * One attempt shows that no connection may be opened; the attempts of other requests are not used
+   * up as well.
+   */
   @Test
-  void othersWaitAfterAnAttemptThatMayNotConnect() {
-    signals.mayConnect = false;
+  void requestsWaitOnceAnAttemptMayNotConnect() {
+    signals.canConnect = false;
     receive("r1", 0);
     finish("r1", AttemptOutcome.NOT_SENT, 1);
     receive("r2", 1);
     receive("r3", 2);
     assertEquals(List.of("r1"), sent);
-    signals.mayConnect = true;
+    signals.canConnect = true;
     policy.timerFired(100 * MILLISECOND);
-    assertEquals(List.of("r1", "r2", "r3", "r1"), sent, "r1 too, once it avoids no host");
+    assertEquals(
+        List.of("r1", "r2", "r3", "r1"),
+        sent,
+        "r1 is sent again once it has forgotten the hosts that it avoided");
   }
 
   @Test
-  void anAnswerOfTheHostEndsThePause() {
+  void answerFromHostEndsPause() {
     receive("r0", 0);
-    signals.mayConnect = false;
+    signals.canConnect = false;
     receive("r1", 0);
     finish("r1", AttemptOutcome.NOT_SENT, 1);
     receive("r2", 1);
@@ -108,9 +114,9 @@
     assertEquals(List.of("r0", "r1", "r2"), sent);
   }
 
-  /** An idle connection that the host had closed says nothing of the next one. */
+  /** An idle connection that the host had closed is no evidence that the next one fails. */
   @Test
-  void anotherReasonPausesNothing() {
+  void hostIsNotPausedWhileConnectsAreAllowed() {
     receive("r1", 0);
     finish("r1", AttemptOutcome.NOT_SENT, 1);
     receive("r2", 1);
--- a/router/src/test/java/rushwood/policy/ScenarioScript.java
+++ b/router/src/test/java/rushwood/policy/ScenarioScript.java
@@ -7,37 +7,40 @@
 import java.util.List;
 
 /**
- * Reads a scenario into commands. Empty lines and lines that start with # are passed over. The
- * lines between {@code repeat COUNT STEP VARIABLE} and {@code end} stand for COUNT copies of them:
- * in each the time of {@code at} is STEP milliseconds later than in the one before, and $VARIABLE
- * stands for the number of the copy, from 0.
+ * Parses a scenario into commands. Empty lines and lines that start with # are skipped. The lines
+ * between {@code repeat COUNT STEP VARIABLE} and {@code end} are repeated COUNT times: with each
+ * repetition the time of {@code at} commands grows by STEP milliseconds, and $VARIABLE is replaced
+ * by the index of the repetition, from 0.
  */
 final class ScenarioScript {
-  /** One command: its words, and the file and line that it stands in. */
+  /** One command: its words, and its file and line. */
   record Command(List<String> words, String source) {
-    /** The first word, which says what the command does. */
+    /** Returns the first word, which determines the kind of command. */
     String name() {
       return words.get(0);
     }
 
-    /** The word at that place, counted from the name at 0. */
+    /** Returns the word at the given index; the name has index 0. */
     String word(int index) {
       return words.get(index);
     }
 
-    /** The word after that key, or {@code absent} if the command does not have the key. */
-    String operand(String key, String absent) {
+    /**
+     * Returns the word after the given key, or the default value if the command does not have the
+     * key.
+     */
+    String operand(String key, String defaultValue) {
       int index = words.subList(1, words.size()).indexOf(key);
-      return index < 0 || index + 2 >= words.size() ? absent : words.get(index + 2);
+      return index < 0 || index + 2 >= words.size() ? defaultValue : words.get(index + 2);
     }
 
-    private Command replace(String variable, int number) {
+    private Command substitute(String variable, int number) {
       String value = Integer.toString(number);
       return new Command(
           words.stream().map(word -> word.replace("$" + variable, value)).toList(), source);
     }
 
-    private Command later(double millis) {
+    private Command delayedBy(double millis) {
       return new Command(
           List.of("at", Double.toString(Double.parseDouble(words.get(1)) + millis)), source);
     }
@@ -99,8 +102,8 @@
     List<Command> commands = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       for (Command command : block) {
-        Command moved = command.name().equals("at") ? command.later(i * step) : command;
-        commands.add(moved.replace(repeat.word(3), i));
+        Command shifted = command.name().equals("at") ? command.delayedBy(i * step) : command;
+        commands.add(shifted.substitute(repeat.word(3), i));
       }
     }
     return commands;
