--- a/router/src/main/java/rushwood/dispatch/Counters.java
+++ b/router/src/main/java/rushwood/dispatch/Counters.java
@@ -46,7 +46,7 @@
   }
 
   /** Sets the listener that is told of each exception that {@link #runSafely} caught. */
-  public void onException(Consumer<Throwable> listener) {
+  public void setExceptionListener(Consumer<Throwable> listener) {
     exceptionListener = listener;
   }
 
--- a/router/src/main/java/rushwood/dispatch/EventLoopClock.java
+++ b/router/src/main/java/rushwood/dispatch/EventLoopClock.java
@@ -107,7 +107,7 @@
    * The longest recent pause of this process in nanoseconds, 0 if there was none. Its value decays
    * exponentially with a half-life of ten seconds.
    */
-  public long recentLongestPause() {
+  public long recentLongestPauseNanos() {
     return pauses.recentLongest(now);
   }
 
@@ -117,11 +117,11 @@
    * it wrote during a turn until the next one; while the loop waits, input is read as it comes.
    */
   public long earliestArrival() {
-    return Math.min(earliestArrival(READ_AFTER_PAUSE_NANOS), oldestUnread);
+    return Math.min(recentPauseStartOrNow(READ_AFTER_PAUSE_NANOS), oldestUnread);
   }
 
   /** The earliest start of a pause that may have kept a signal from getting here at once. */
-  public long earliestArrival(long delayNanos) {
-    return pauses.startOfPauseWithin(delayNanos, now());
+  public long recentPauseStartOrNow(long maxAgeNanos) {
+    return pauses.startOfPauseWithin(maxAgeNanos, now());
   }
 }
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -82,7 +82,7 @@
    */
   RouterComponents assemble(Runnable onCompleteList) {
     scheduleHeartbeat();
-    counters.onException(this::logException);
+    counters.setExceptionListener(this::logException);
     RequestDispatcher dispatcher = createDispatcher();
     FrontendServer frontend = createFrontend(dispatcher);
     DiscoveryClient discoveryClient =
--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -103,7 +103,7 @@
     this.onDrained = onDrained;
     // A signal that came while the process was suspended may have come at the pause's start.
     long hookTime = clock.now() - hookDelayNanos;
-    long signalTime = Math.min(clock.earliestArrival(SIGNAL_DELAY_NANOS), hookTime);
+    long signalTime = Math.min(clock.recentPauseStartOrNow(SIGNAL_DELAY_NANOS), hookTime);
     long killTime = signalTime + killDelayNanos(maxRequestTimeoutNanos);
     earliestDrainTime = signalTime + MIN_SERVING_NANOS;
     lastAnswerTime = killTime - EXIT_RESERVE_NANOS;
@@ -131,7 +131,7 @@
    */
   private void serveUntilDrainTime() {
     long now = clock.now();
-    long pauseReserve = RESERVED_PAUSES * clock.recentLongestPause();
+    long pauseReserve = RESERVED_PAUSES * clock.recentLongestPauseNanos();
     long drainTime =
         Math.max(earliestDrainTime, lastAnswerTime - DRAIN_RESERVE_NANOS - pauseReserve);
     if (now >= drainTime) {
