--- a/router/src/main/java/rushwood/dispatch/AttemptExchange.java
+++ b/router/src/main/java/rushwood/dispatch/AttemptExchange.java
@@ -5,7 +5,7 @@
 import rushwood.api.AttemptResult;
 import rushwood.api.HostId;
 
-/** One attempt at a request. */
+/** One attempt at a request on one host. Ends by itself when its timeout expires. */
 final class AttemptExchange extends Exchange {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -14,16 +14,17 @@
   private final int attemptNumber;
   private final long startedAt;
   private final long timeoutNanos;
-  private final TimerQueue.ScheduledTask timeout;
+  private final TimerQueue.ScheduledTask timeoutTask;
 
   /**
-   * Creates the next attempt of a request, which stops by itself at its timeout.
+   * Creates the next attempt of a request and starts its timeout.
    *
-   * @param runner what is told of the end of the attempt
-   * @param timers runs the timeout
-   * @param startedAt the current time
-   * @param timeoutNanos how long the response is waited for
-   * @param startWithinNanos within which time the statement may be written
+   * @param runner notified when the attempt ends
+   * @param timers schedules the timeout
+   * @param startedAt the current time, Unix time in nanoseconds
+   * @param timeoutNanos how long to wait for the response, counted from {@code startedAt}
+   * @param startWithinNanos the time from {@code startedAt} within which the statement may be
+   *     written
    */
   AttemptExchange(
       AttemptRunner runner,
@@ -39,14 +40,18 @@
     this.attemptNumber = request.attemptCount();
     this.startedAt = startedAt;
     this.timeoutNanos = timeoutNanos;
-    timeout = timers.schedule(startedAt + timeoutNanos, () -> stop(AttemptOutcome.TIMED_OUT));
+    timeoutTask = timers.schedule(startedAt + timeoutNanos, () -> stop(AttemptOutcome.TIMED_OUT));
   }
 
   InFlightRequest request() {
     return request;
   }
 
-  /** The result as of now. */
+  /**
+   * Returns the result that is reported to the routing policy.
+   *
+   * @param now the current time, which ends the attempt's duration
+   */
   AttemptResult toResult(BackendResponse response, long now) {
     return new AttemptResult(
         request.id(),
@@ -60,7 +65,7 @@
         response.report());
   }
 
-  /** The statement tells the host how many milliseconds are left, at least one. */
+  /** Encodes the statement with the rest of the timeout in whole milliseconds, at least one. */
   @Override
   ByteBuf encodeStatement(long now) {
     long remainingNanos = startedAt + timeoutNanos - now;
@@ -74,7 +79,7 @@
 
   @Override
   void onCompleted(BackendResponse response) {
-    timeout.cancel();
+    timeoutTask.cancel();
     runner.attemptEnded(this, response);
   }
 }
--- a/router/src/main/java/rushwood/dispatch/AttemptRunner.java
+++ b/router/src/main/java/rushwood/dispatch/AttemptRunner.java
@@ -32,10 +32,11 @@
   }
 
   /**
-   * Starts an attempt; one that cannot be sent ends at once.
+   * Starts an attempt. An attempt that cannot be sent ends at once as {@link
+   * AttemptOutcome#NOT_SENT}.
    *
-   * @param timeoutNanos how long the response is waited for
-   * @param startWithinNanos within which time the statement may be written
+   * @param timeoutNanos how long to wait for the response; if not positive, nothing is sent
+   * @param startWithinNanos the time from now within which the statement may be written
    */
   void start(InFlightRequest request, HostId host, long timeoutNanos, long startWithinNanos) {
     long now = clock.now();
@@ -50,7 +51,7 @@
     }
   }
 
-  /** Withholds the attempts of a request that have not been written: its client has left. */
+  /** Withholds the unwritten attempts of a request whose client has disconnected. */
   void withholdUnwritten(InFlightRequest request) {
     for (AttemptExchange attempt : List.copyOf(request.attempts())) {
       if (!attempt.isCompleted() && !attempt.isAwaitingResponse()) {
@@ -59,9 +60,12 @@
     }
   }
 
-  /** Called once for each attempt. */
+  /**
+   * Handles the end of an attempt: answers the client with the first success and reports the result
+   * to the routing policy. Called once for each attempt; takes ownership of the response.
+   */
   void attemptEnded(AttemptExchange attempt, BackendResponse response) {
-    counters.increment(Counter.ofAttempts(response.outcome()));
+    counters.increment(Counter.forAttemptOutcome(response.outcome()));
     InFlightRequest request = attempt.request();
     request.attemptEnded();
     counters.checkInvariant(request.attemptsInFlight() >= 0, "an attempt ends once");
--- a/router/src/main/java/rushwood/dispatch/BackendConnection.java
+++ b/router/src/main/java/rushwood/dispatch/BackendConnection.java
@@ -6,45 +6,54 @@
 /** A connection to a host, which carries one exchange at a time. */
 public interface BackendConnection {
   /**
-   * Writes a statement and takes its buffer over. Only for a connection that is open and carries no
-   * exchange.
+   * Writes a statement and takes ownership of its buffer. The connection must be open and must not
+   * carry another exchange.
    *
    * @param isHealthCheck whether the row of the response is a load report
    */
   void send(ByteBuf statement, boolean isHealthCheck);
 
-  /** Whether the last byte of the last statement was written to the socket. */
+  /** Returns whether the most recent statement was written to the socket completely. */
   boolean isStatementWritten();
 
-  /** Whether the connection is up and can carry the next exchange. */
+  /** Returns whether the connection is established and can carry another exchange. */
   boolean isOpen();
 
-  /** Closes the connection; the listener is told nothing more. */
+  /** Closes the connection. The listener is not called any more. */
   void close();
 
   /** Opens connections to hosts. */
   interface Connector {
-    /** Begins to connect; the listener is told how it goes on. */
+    /** Starts to connect and returns at once; the listener is notified of the result. */
     BackendConnection connect(InetSocketAddress address, Listener listener);
 
-    /** The statement of a health check, which a host answers with a load report. */
+    /**
+     * Returns a new health check message, which a host answers with a load report; the caller
+     * releases it.
+     */
     ByteBuf healthCheckStatement();
   }
 
-  /** What a connection reports, never from within a call to it. */
+  /**
+   * Receives the events of a connection, on the event loop's thread and never from within a call to
+   * the connection.
+   */
   interface Listener {
-    /** The connection is up and can carry an exchange. */
+    /** Called when the connection is established and can carry an exchange. */
     void connected();
 
     /**
-     * The response to the last statement has been read, or the host refused the connection.
+     * Called when the response to the last statement was read or is malformed, or when the host
+     * refused the connection with an error message.
      *
-     * @param reusable whether the connection can carry another exchange; if not, it is of no use
+     * @param reusable whether the connection can carry another exchange; if not, it has to be
+     *     closed
      */
     void responseReceived(BackendResponse response, boolean reusable);
 
     /**
-     * The connection ended, or violated the protocol, without a response.
+     * Called when the connection ended or the host violated the protocol, unless {@link
+     * #responseReceived} reports it.
      *
      * @param accepted whether the host had accepted the connection
      */
--- a/router/src/main/java/rushwood/dispatch/BackendResponse.java
+++ b/router/src/main/java/rushwood/dispatch/BackendResponse.java
@@ -9,14 +9,14 @@
 import rushwood.api.LoadReport;
 
 /**
- * How one exchange with a host ended. Whoever receives a response releases it.
+ * The result of one exchange with a host. The receiver of a response releases it.
  *
- * @param outcome the outcome
- * @param row the messages to pass on to the client, if a row was read for one
+ * @param outcome how the exchange ended
+ * @param row the messages to pass on to the client; null if there is no row for a client
  * @param role the role that the host claims
- * @param position the position that the host gives, Unix time in nanoseconds; negative if it gives
- *     none
- * @param report the load report that came with the response
+ * @param position the replication position that the host reports, Unix time in nanoseconds;
+ *     negative if it reports none
+ * @param report the load report that came with the response; {@link LoadReport#NONE} if none came
  */
 public record BackendResponse(
     AttemptOutcome outcome,
@@ -25,19 +25,19 @@
     long position,
     LoadReport report) {
 
-  /** A response of which nothing but the outcome is known. */
+  /** Returns a response of which only the outcome is known. */
   public static BackendResponse withoutRow(AttemptOutcome outcome) {
     return new BackendResponse(
         outcome, null, HostRole.UNKNOWN, AttemptResult.NO_POSITION, LoadReport.NONE);
   }
 
   /**
-   * The messages to pass on to the client.
+   * Returns the messages to pass on to the client.
    *
-   * @throws NullPointerException if there is no row: the outcome of an attempt is no success
+   * @throws NullPointerException if there is no row; only a successful attempt has one
    */
   public ByteBuf requireRow() {
-    return Objects.requireNonNull(row, "only a success has a row");
+    return Objects.requireNonNull(row, "only a successful response has a row");
   }
 
   /** Releases the row, if there is one. */
--- a/router/src/main/java/rushwood/dispatch/ConnectAttempts.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectAttempts.java
@@ -4,8 +4,8 @@
 import rushwood.overload.ConnectBackoff;
 
 /**
- * The connections to hosts that are being established: whether one may begin, how long it may take,
- * and what the connect backoff and the counters learn of its end.
+ * Tracks connections to hosts that are being established: checks whether one may be opened, limits
+ * the time it may take, and reports its result to the connect backoff and the counters.
  */
 final class ConnectAttempts {
   private final ConnectBackoff backoff;
@@ -15,7 +15,7 @@
   private final long timeoutNanos;
 
   /**
-   * Creates the attempts of one connection pool.
+   * Creates the tracker of one connection pool.
    *
    * @param timeoutNanos how long a connection may take to be established
    */
@@ -33,27 +33,34 @@
   }
 
   /**
-   * Whether a connection may be opened for the exchange. The routing policy limits health checks
-   * itself: they are exempt from the connect backoff.
+   * Returns whether a connection may be opened for the exchange. Health checks are exempt from the
+   * connect backoff because the routing policy limits their rate itself.
    */
   boolean isAllowed(Exchange exchange) {
     return exchange.isHealthCheck() || backoff.isAttemptAllowed(exchange.host(), clock.now());
   }
 
-  /** Begins an attempt, which fails by itself and runs {@code onTimeout} unless it ends in time. */
+  /**
+   * Starts an attempt to connect.
+   *
+   * @param onTimeout run after the attempt has failed because it did not end in time
+   */
   ConnectAttempt start(HostId host, Runnable onTimeout) {
     return new ConnectAttempt(host, onTimeout);
   }
 
-  /** One connection that is being established. It ends once; what is called later does nothing. */
+  /**
+   * One attempt to connect. Its first result counts; {@link #fail} and {@link #cancel} do nothing
+   * afterwards.
+   */
   final class ConnectAttempt {
     private final HostId host;
-    private final TimerQueue.ScheduledTask timeout;
+    private final TimerQueue.ScheduledTask timeoutTask;
 
     private ConnectAttempt(HostId host, Runnable onTimeout) {
       this.host = host;
       backoff.attemptStarted(host);
-      timeout =
+      timeoutTask =
           timers.schedule(
               clock.now() + timeoutNanos,
               () -> {
@@ -62,24 +69,27 @@
               });
     }
 
-    /** The connection is up. */
+    /** Records that the connection was established. */
     void succeed() {
-      timeout.cancel();
+      timeoutTask.cancel();
       backoff.attemptSucceeded(host);
     }
 
-    /** The host refused the connection or reset it, unless it was up before. */
+    /**
+     * Records that the host refused or reset the connection, unless the attempt has ended before.
+     */
     void fail() {
-      if (timeout.cancel()) {
+      if (timeoutTask.cancel()) {
         recordFailure();
       }
     }
 
     /**
-     * The router gave the connection up, unless it was up before: that says nothing of the host.
+     * Records that the router gave up the attempt, unless it has ended before. This does not count
+     * as a failure of the host.
      */
     void cancel() {
-      if (timeout.cancel()) {
+      if (timeoutTask.cancel()) {
         backoff.attemptCancelled(host);
       }
     }
--- a/router/src/main/java/rushwood/dispatch/ConnectionPool.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectionPool.java
@@ -7,21 +7,22 @@
 import rushwood.api.HostId;
 
 /**
- * The connections to all hosts. Each carries one exchange at a time; idle ones are reused, the most
- * recently used first, and closed before the host closes them.
+ * Pools the connections to all hosts. Each connection carries one exchange at a time. Idle
+ * connections are reused, the most recently used first, and are closed before their host would
+ * close them.
  */
 final class ConnectionPool {
-  /** Whether an exchange was given to a connection, and if not, why. */
+  /** Whether an exchange was assigned to a connection, and if not, why. */
   private enum StartResult {
-    /** It is on an idle connection or on a new one. */
+    /** The exchange was assigned to an idle connection or to a new one. */
     STARTED,
-    /** The endpoint list does not name its host: a fault of the program. */
+    /** The host is not in the endpoint list, which indicates a bug. */
     HOST_NOT_LISTED,
-    /** The {@link WriteGate} withholds it. */
+    /** The {@link WriteGate} withholds the statement. */
     WITHHELD,
-    /** No idle connection, and the connect backoff allows no new one. */
+    /** No connection is idle, and the connect backoff does not allow a new one. */
     CONNECT_BACKOFF,
-    /** No idle connection, and no file descriptor for a new one. */
+    /** No connection is idle, and there is no file descriptor for a new one. */
     NO_DESCRIPTOR
   }
 
@@ -37,7 +38,7 @@
   private final OpenConnections openConnections;
   private final IdleLimit idleLimit;
 
-  /** Creates an empty pool, which from now on closes idle connections by a timer. */
+  /** Creates an empty pool and schedules the periodic closing of idle connections. */
   ConnectionPool(
       BackendConnection.Connector connector,
       EventLoopClock clock,
@@ -58,14 +59,18 @@
     scheduleSweep();
   }
 
-  /** Adds a host or sets its address; one that is ready is not draining any more. */
+  /**
+   * Adds a host or updates its address.
+   *
+   * @param ready whether the host is listed as ready, which ends its draining
+   */
   void updateEndpoint(HostId host, InetSocketAddress address, boolean ready) {
     endpoints
         .computeIfAbsent(host, added -> new EndpointPool(host, address))
         .update(address, ready);
   }
 
-  /** Stops the use of a host until it is listed as ready again. */
+  /** Stops using a host until it is listed as ready again; does nothing for an unknown host. */
   void drain(HostId host) {
     EndpointPool endpoint = endpoints.get(host);
     if (endpoint != null) {
@@ -73,7 +78,7 @@
     }
   }
 
-  /** Forgets a host; its connections in use are closed with the end of their exchange. */
+  /** Removes a host. Each of its connections in use is closed when its exchange ends. */
   void remove(HostId host) {
     EndpointPool endpoint = endpoints.remove(host);
     if (endpoint != null) {
@@ -86,8 +91,8 @@
   }
 
   /**
-   * Runs an exchange on an idle connection or a new one. One that cannot start ends at once, as
-   * {@link AttemptOutcome#NOT_SENT}.
+   * Runs an exchange on an idle connection or on a new one. An exchange that cannot start ends at
+   * once as {@link AttemptOutcome#NOT_SENT}.
    */
   void execute(Exchange exchange) {
     switch (start(exchange)) {
@@ -100,7 +105,7 @@
 
   private StartResult start(Exchange exchange) {
     EndpointPool endpoint = endpoints.get(exchange.host());
-    counters.checkInvariant(endpoint != null, "exchanges go to listed hosts");
+    counters.checkInvariant(endpoint != null, "the host of an exchange is listed");
     if (endpoint == null) {
       return StartResult.HOST_NOT_LISTED;
     }
@@ -117,7 +122,7 @@
       counters.increment(Counter.CONNECTS_SUPPRESSED);
       return StartResult.CONNECT_BACKOFF;
     }
-    if (openConnections.isAtLimit() && !closeOldestIdle()) {
+    if (openConnections.isAtLimit() && !closeLongestIdle()) {
       return StartResult.NO_DESCRIPTOR;
     }
     openConnection(endpoint).connect(connector, exchange);
@@ -129,21 +134,21 @@
         endpoint, connectAttempts, writeGate, openConnections, idleLimit, clock, counters);
   }
 
-  /** Closes the connection that has been idle for longest; returns whether there was one. */
-  private boolean closeOldestIdle() {
+  /** Closes the longest idle connection of all hosts; returns whether there was one. */
+  private boolean closeLongestIdle() {
     EndpointPool owner = null;
-    long oldestSince = Long.MAX_VALUE;
+    long longestIdleSince = Long.MAX_VALUE;
     for (EndpointPool endpoint : endpoints.values()) {
-      PooledConnection candidate = endpoint.oldestIdle();
-      if (candidate != null && candidate.idleSince() < oldestSince) {
+      PooledConnection candidate = endpoint.longestIdle();
+      if (candidate != null && candidate.idleSince() < longestIdleSince) {
         owner = endpoint;
-        oldestSince = candidate.idleSince();
+        longestIdleSince = candidate.idleSince();
       }
     }
     if (owner == null) {
       return false;
     }
-    owner.closeOldestIdle();
+    owner.closeLongestIdle();
     return true;
   }
 
@@ -151,15 +156,17 @@
     timers.schedule(clock.now() + SWEEP_INTERVAL_NANOS, this::sweep);
   }
 
-  /** Closes idle connections before their host does. */
+  /**
+   * Raises the idle limit, closes the connections that have reached it, and schedules the next
+   * sweep.
+   */
   private void sweep() {
     scheduleSweep();
     idleLimit.recover();
-    long expiredSince = clock.now() - idleLimit.nanos();
-    endpoints.values().forEach(endpoint -> endpoint.closeIdleSince(expiredSince));
+    long expiryCutoff = clock.now() - idleLimit.nanos();
+    endpoints.values().forEach(endpoint -> endpoint.closeIdleSince(expiryCutoff));
   }
 
-  /** Closes every idle connection. */
   void closeAllIdle() {
     endpoints.values().forEach(EndpointPool::closeIdle);
   }
--- a/router/src/main/java/rushwood/dispatch/ConnectionSettings.java
+++ b/router/src/main/java/rushwood/dispatch/ConnectionSettings.java
@@ -4,14 +4,17 @@
 import rushwood.overload.DescriptorBudget;
 
 /**
- * What the dispatcher and its connection pool are configured with.
+ * The configuration of the dispatcher and its connection pool.
  *
- * @param descriptors the file descriptors that connections to hosts are taken from
- * @param backoff spaces out connection attempts to a host that takes none
- * @param connectTimeoutNanos how long a connection, and likewise a health check, may take
- * @param hostIdleTimeoutNanos after how long a host closes an idle connection
- * @param isRemovalBinding whether a host that is missing from the endpoint list must not be used
- * @param drainGraceNanos within which time of its draining a host must get no new statement
+ * @param descriptors limits the number of connections to hosts by the available file descriptors
+ * @param backoff spaces out attempts to connect to a host that does not accept connections
+ * @param connectTimeoutNanos the time limit for establishing a connection, and also for a whole
+ *     health check
+ * @param hostIdleTimeoutNanos the time after which a host closes an idle connection
+ * @param isRemovalBinding whether a host that was removed from the endpoint list must not be used
+ *     any more
+ * @param drainGraceNanos the time after the start of its drain from which on a host must not
+ *     receive new statements
  */
 public record ConnectionSettings(
     DescriptorBudget descriptors,
--- a/router/src/main/java/rushwood/dispatch/Counter.java
+++ b/router/src/main/java/rushwood/dispatch/Counter.java
@@ -3,39 +3,37 @@
 import rushwood.api.AttemptOutcome;
 
 /**
- * What a router counts since its start. {@code SHOW counters} and the log line at exit list the
- * counters under these names in lower case, in this order.
+ * The counters of a router since its start. {@code SHOW counters} and the log line at exit list
+ * them in this order, by their names in lower case.
  */
 public enum Counter {
-  /** Client connections that were accepted. */
+  /** Accepted client connections. */
   CLIENTS_ACCEPTED,
-  /** Client connections that were refused, or closed as they exceeded a limit. */
+  /** Client connections that were refused, or closed because they exceeded a limit. */
   CLIENTS_REFUSED,
-  /** Client connections that ended, for whatever reason. */
+  /** Client connections that ended, for any reason. */
   CLIENTS_CLOSED,
   /** Idle client connections that were closed to free their file descriptors. */
   CLIENTS_EVICTED,
-  /** Those of {@link #CLIENTS_EVICTED} that had never had an answer. */
+  /** Connections among {@link #CLIENTS_EVICTED} that had never received an answer. */
   CLIENTS_EVICTED_UNANSWERED,
-  /** Client connections that were closed as the rest of a message did not come in time. */
+  /** Client connections that were closed because the rest of a message did not arrive in time. */
   CLIENTS_TIMED_OUT,
-  /** Statements and messages from clients that are not accepted; no host saw them. */
+  /** Statements and messages from clients that were not accepted and reached no host. */
   STATEMENTS_REJECTED,
 
-  /** Requests that were taken from clients. */
+  /** Requests received from clients. */
   REQUESTS_RECEIVED,
   /** Requests that were answered with a row. */
   REQUESTS_SUCCEEDED,
-  /**
-   * Requests that were rejected: they ran nowhere or may run twice, so trying again is harmless.
-   */
+  /** Requests that were rejected: they have not run or are idempotent, so a retry is harmless. */
   REQUESTS_REJECTED,
   /** Requests that failed: they may or may not have run. */
   REQUESTS_FAILED,
   /** Requests whose client disconnected or cancelled them before the final response. */
   REQUESTS_CANCELLED,
 
-  /** Attempts that the routing policy asked for, sent or not. */
+  /** Attempts that the routing policy ordered, sent or not. */
   ATTEMPTS_STARTED,
   /** Attempts that ended with {@link AttemptOutcome#SUCCESS}. */
   ATTEMPTS_SUCCESS,
@@ -58,60 +56,66 @@
   /** Attempts that ended with {@link AttemptOutcome#NOT_SENT}. */
   ATTEMPTS_NOT_SENT,
   /**
-   * Attempts and health checks that the {@link WriteGate} withheld: their host drains, their client
-   * has left, or their time to be written had passed. Attempts among them count as not sent as
-   * well.
+   * Attempts and health checks that the {@link WriteGate} withheld because their host was draining,
+   * their client had disconnected, or their write deadline had passed. Withheld attempts also count
+   * as {@link #ATTEMPTS_NOT_SENT}.
    */
   ATTEMPTS_WITHHELD,
-  /** Attempts and health checks that the {@link WriteGate} deferred, after a pause. */
+  /**
+   * Attempts and health checks that the {@link WriteGate} deferred after a pause of the process.
+   */
   ATTEMPTS_DEFERRED,
 
-  /** Health checks that the routing policy asked for. */
+  /** Health checks that the routing policy ordered, sent or not. */
   PROBES_SENT,
   /** Health checks that a host answered. */
   PROBES_ANSWERED,
 
-  /** Connections to hosts that the router began to open. */
+  /** Connections to hosts that the router started to open. */
   CONNECTIONS_OPENED,
   /** Uses of an idle connection to a host. */
   CONNECTIONS_REUSED,
-  /** Connections to hosts that were refused or reset at once, or did not come up in time. */
+  /**
+   * Connections to hosts that were refused or lost while connecting, or not established in time.
+   */
   CONNECTIONS_FAILED,
-  /** Connections to hosts that ended, for whatever reason. */
+  /** Connections to hosts that ended, for any reason. */
   CONNECTIONS_CLOSED,
-  /** Connections to hosts that were not begun: the connect backoff did not allow them. */
+  /** Connections to hosts that were not opened because of the connect backoff. */
   CONNECTS_SUPPRESSED,
-  /** Messages from hosts that violate the protocol; each ends its connection. */
+  /** Messages from hosts that violated the protocol; each ended its connection. */
   BACKEND_PROTOCOL_ERRORS,
-  /** Responses from hosts that were followed by excess data; each ends its connection. */
+  /** Responses from hosts that were followed by excess data; each ended its connection. */
   BACKEND_EXCESS_DATA,
 
   /** Complete endpoint lists that were applied. */
   ENDPOINT_LISTS_REPLACED,
   /**
-   * Changes to the endpoint list that were applied, and lists that were ignored but for their
-   * draining and removed endpoints.
+   * Changes to the endpoint list that were applied, and lists of which only the draining and
+   * removed endpoints were applied.
    */
   ENDPOINT_LISTS_UPDATED,
   /** Answers from discovery that the endpoint list is unchanged. */
   ENDPOINT_LISTS_UNCHANGED,
-  /** Parts of lists from discovery that could not be read, 20 for each list at most. */
+  /** Unreadable parts of lists from discovery, at most 20 of each list. */
   ENDPOINT_LISTS_MALFORMED,
   /** Calls to discovery that failed. */
   ENDPOINT_LISTS_FAILED,
 
-  /** Configurations that were read again and are valid; they may change nothing. */
+  /** Reloaded configurations that are valid, also unchanged ones. */
   CONFIGS_APPLIED,
-  /** Configurations that were read again and could not be used. */
+  /**
+   * Reloaded configurations that are invalid; retries that fail for the same reason do not count.
+   */
   CONFIGS_REJECTED,
 
-  /** Invariants of the router that did not hold: each is a fault of the program. */
+  /** Violated invariants of the router, each caused by a bug. */
   INVARIANTS_VIOLATED,
-  /** Exceptions that ended one request or one task: each is a fault of the program. */
+  /** Unexpected exceptions that ended one request or one task. */
   EXCEPTIONS_CAUGHT;
 
-  /** The counter of attempts that end with the given outcome. */
-  static Counter ofAttempts(AttemptOutcome outcome) {
+  /** Returns the counter of attempts that ended with the given outcome. */
+  static Counter forAttemptOutcome(AttemptOutcome outcome) {
     return switch (outcome) {
       case SUCCESS -> ATTEMPTS_SUCCESS;
       case ERROR -> ATTEMPTS_ERROR;
--- a/router/src/main/java/rushwood/dispatch/Counters.java
+++ b/router/src/main/java/rushwood/dispatch/Counters.java
@@ -8,33 +8,34 @@
 import java.util.function.LongSupplier;
 
 /**
- * The counters of one router, and the guards that count faults of the program instead of letting
- * them end it. Used on the event loop's thread only.
+ * The counters of one router. Also checks invariants and runs tasks so that a bug is counted
+ * instead of ending the process. Used on the event loop's thread only.
  */
 public final class Counters {
   private final long[] counts = new long[Counter.values().length];
   private final Map<String, LongSupplier> registered = new LinkedHashMap<>();
   private Consumer<Throwable> exceptionListener = thrown -> {};
 
-  /** Adds one to a counter. */
+  /** Increments a counter by one. */
   public void increment(Counter counter) {
     counts[counter.ordinal()]++;
   }
 
-  /** The value of a counter. */
+  /** Returns the value of a counter. */
   public long get(Counter counter) {
     return counts[counter.ordinal()];
   }
 
-  /** Lists a value that another component keeps, after the counters and under the given name. */
+  /** Adds a value of another component, which is listed after the counters under the given name. */
   public void register(String name, LongSupplier value) {
     registered.put(name, value);
   }
 
   /**
-   * Checks what must hold wherever the program is right. With assertions enabled, as in tests, a
-   * violation is thrown; else it is counted and the caller goes on.
+   * Checks an invariant. With assertions enabled, as in tests, a violation throws an {@link
+   * AssertionError}; otherwise it is counted and the caller has to handle it.
    *
+   * @param invariant what the condition means, the message of the error
    * @return whether the condition holds
    */
   public boolean checkInvariant(boolean condition, String invariant) {
@@ -45,14 +46,14 @@
     return condition;
   }
 
-  /** Sets the listener that is told of each exception that {@link #runSafely} caught. */
+  /** Sets the listener that receives each exception caught by {@link #runSafely}. */
   public void setExceptionListener(Consumer<Throwable> listener) {
     exceptionListener = listener;
   }
 
   /**
-   * Runs a task whose failure must not end anything else: a RuntimeException or an OutOfMemoryError
-   * is counted and reported; what else it throws is thrown on.
+   * Runs a task in isolation: a {@link RuntimeException} or an {@link OutOfMemoryError} is counted
+   * and reported to the exception listener; any other error propagates to the caller.
    *
    * @return whether the task returned without an exception
    */
@@ -66,16 +67,19 @@
       task.accept(argument);
       return true;
     } catch (RuntimeException | OutOfMemoryError e) {
-      // Any fault of the program in the task, and a buffer that cannot be allocated, for which
-      // Netty
-      // throws an OutOfMemoryError of its own: other requests go on.
+      // A bug in the task, or a buffer that could not be allocated, for which Netty throws a
+      // subclass of OutOfMemoryError. Other requests are not affected.
       increment(Counter.EXCEPTIONS_CAUGHT);
       exceptionListener.accept(e);
       return false;
     }
   }
 
-  /** Passes each counter's name in lower case and its value to the reader, in a fixed order. */
+  /**
+   * Passes the name and the value of each counter to the reader: first each {@link Counter} in its
+   * order, by its name in lower case, then the registered values in the order of their
+   * registration.
+   */
   public void forEach(BiConsumer<String, Long> reader) {
     for (Counter counter : Counter.values()) {
       reader.accept(counter.name().toLowerCase(Locale.ROOT), get(counter));
@@ -83,7 +87,7 @@
     registered.forEach((name, value) -> reader.accept(name, value.getAsLong()));
   }
 
-  /** All counters as {@code name=value}, separated by spaces. */
+  /** Returns all counters as {@code name=value}, separated by spaces. */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
--- a/router/src/main/java/rushwood/dispatch/DecayingMaximum.java
+++ b/router/src/main/java/rushwood/dispatch/DecayingMaximum.java
@@ -1,20 +1,29 @@
 package rushwood.dispatch;
 
 /**
- * The largest of the values recorded, where each loses half of its weight in every half-life. Times
- * are clock times in nanoseconds.
+ * Tracks the maximum of recorded values, each of which decays exponentially from the time of its
+ * recording. Times are clock times in nanoseconds.
  */
 final class DecayingMaximum {
   private final double halfLifeNanos;
   private long value;
   private long recordedAt;
 
-  /** Creates it with nothing recorded. */
+  /**
+   * Creates a maximum without any recorded value.
+   *
+   * @param halfLifeNanos the time in which a value decays to its half
+   */
   DecayingMaximum(long halfLifeNanos) {
     this.halfLifeNanos = halfLifeNanos;
   }
 
-  /** Records a value that is not negative; the time must not be before that of an earlier one. */
+  /**
+   * Records a value.
+   *
+   * @param newValue the value, not negative
+   * @param now the current time; must not go back between calls
+   */
   void record(long newValue, long now) {
     if (newValue >= at(now)) {
       value = newValue;
@@ -22,7 +31,7 @@
     }
   }
 
-  /** The maximum at that time, 0 if nothing was recorded. */
+  /** Returns the decayed maximum at the given time; 0 if nothing was recorded. */
   long at(long now) {
     if (value == 0) {
       return 0;
--- a/router/src/main/java/rushwood/dispatch/DispatcherActions.java
+++ b/router/src/main/java/rushwood/dispatch/DispatcherActions.java
@@ -7,7 +7,7 @@
 import rushwood.api.PolicyActions;
 import rushwood.api.RequestId;
 
-/** Carries out what the routing policy decides. */
+/** Executes the actions that the routing policy orders. */
 final class DispatcherActions implements PolicyActions {
   private final Counters counters;
   private final InFlightRequests requests;
@@ -19,7 +19,7 @@
   /**
    * Creates the actions of one policy.
    *
-   * @param logger takes the policy's log messages
+   * @param logger receives the policy's log messages
    */
   DispatcherActions(
       Counters counters,
@@ -39,7 +39,7 @@
   @Override
   public void send(RequestId id, HostId host, long timeoutNanos, long startWithinNanos) {
     InFlightRequest request = requests.findUnanswered(id);
-    counters.checkInvariant(request != null, "attempts are for unanswered requests");
+    counters.checkInvariant(request != null, "the request of a new attempt is unanswered");
     if (request != null) {
       attempts.start(request, host, timeoutNanos, startWithinNanos);
     }
@@ -73,7 +73,7 @@
 
   private ClientResponder finish(InFlightRequest request) {
     ClientResponder responder = requests.markAnswered(request);
-    requests.forgetIfFinished(request);
+    requests.removeIfFinished(request);
     return responder;
   }
 
@@ -87,7 +87,7 @@
     policyTimer.wakeAt(time);
   }
 
-  /** Does nothing: the router's endpoint list is kept up to date without being asked for. */
+  /** Does nothing: a router follows the endpoint list from its start, without being asked. */
   @Override
   public void subscribeToEndpoints() {}
 
--- a/router/src/main/java/rushwood/dispatch/EndpointAddress.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointAddress.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 import rushwood.api.Endpoint;
 
-/** An endpoint as discovery lists it, and the address that its host listens on. */
+/** An endpoint as listed by discovery, and the address that its host listens on. */
 public record EndpointAddress(Endpoint endpoint, InetSocketAddress address) {
 
-  /** The same endpoint in another lifecycle state. */
+  /** Returns a copy of this entry with the given lifecycle state. */
   EndpointAddress withState(Endpoint.State state) {
     Endpoint changed =
         new Endpoint(
--- a/router/src/main/java/rushwood/dispatch/EndpointPool.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointPool.java
@@ -10,19 +10,19 @@
 import org.jspecify.annotations.Nullable;
 import rushwood.api.HostId;
 
-/** The connections to one host. */
+/** Manages the idle connections to one host and those with an unwritten exchange. */
 final class EndpointPool {
   /**
-   * How long a connection is left idle before it is used again. What a host does right after a
-   * response, such as a close or excess data, would otherwise be taken for the response to the next
-   * statement. On loopback and within a data centre it arrives within a millisecond.
+   * The minimum time that a connection is left idle before it is reused. Without this delay, a
+   * close or excess data that directly follows a response would be taken for the response to the
+   * next statement. On loopback and within a data centre both arrive within a millisecond.
    */
   private static final long REUSE_DELAY_NANOS = 2_000_000L;
 
-  /** The most recently used one first. */
+  /** Idle connections, the most recently used first. */
   private final Deque<PooledConnection> idle = new ArrayDeque<>();
 
-  /** Connections with an exchange of which nothing has been written. */
+  /** Connections whose exchange has not been written. */
   private final Set<PooledConnection> awaitingWrite = new LinkedHashSet<>();
 
   private final HostId host;
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Sets the host's address; idle connections to another one are closed.
+   * Sets the host's address. If it has changed, idle connections are closed.
    *
    * @param ready whether the host is listed as ready, which ends its draining
    */
@@ -59,14 +59,14 @@
     return isDraining;
   }
 
-  /** Whether a connection to that address may be kept for reuse. */
+  /** Returns whether a connection to the given address may be kept for reuse. */
   boolean canReuse(InetSocketAddress connectedAddress) {
     return connectedAddress.equals(address) && !isDraining;
   }
 
   /**
-   * Closes idle connections and withholds exchanges that have not been written: by the time that
-   * their connection is up the grace period of the draining host may be over.
+   * Closes idle connections and withholds unwritten exchanges: the drain grace of the host may be
+   * over by the time that their connections are ready.
    */
   void startDraining() {
     isDraining = true;
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Takes out the most recently used connection that can be used again, if there is one. Those that
-   * are found to be broken, or idle for too long, are closed.
+   * Removes and returns the most recently used connection that can be reused, or null if there is
+   * none. Connections found to be broken or idle for too long on the way are closed.
    */
   @Nullable PooledConnection takeReusable(long now, long maxIdleNanos) {
     for (Iterator<PooledConnection> connections = idle.iterator(); connections.hasNext(); ) {
@@ -115,20 +115,24 @@
     return null;
   }
 
-  /** The connection that has been idle for longest, if any is idle. */
-  @Nullable PooledConnection oldestIdle() {
+  /** Returns the longest idle connection, or null if none is idle. */
+  @Nullable PooledConnection longestIdle() {
     return idle.peekLast();
   }
 
-  /** Takes out and closes the connection that has been idle for longest. */
-  void closeOldestIdle() {
+  /**
+   * Removes and closes the longest idle connection.
+   *
+   * @throws java.util.NoSuchElementException if none is idle
+   */
+  void closeLongestIdle() {
     idle.removeLast().close();
   }
 
-  /** Closes the connections that have been idle since that time or longer. */
+  /** Closes the connections that became idle at the given time or earlier. */
   void closeIdleSince(long time) {
     while (!idle.isEmpty() && idle.peekLast().idleSince() <= time) {
-      closeOldestIdle();
+      closeLongestIdle();
     }
   }
 }
--- a/router/src/main/java/rushwood/dispatch/EndpointRegistry.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointRegistry.java
@@ -11,9 +11,9 @@
 import rushwood.api.HostId;
 
 /**
- * The endpoint list in force. A change of it is applied in this order: the connection pool gets the
- * addresses, the routing policy is told and chooses no leaving host any more, and last the pool
- * withholds what was chosen for leaving hosts before and is not written yet.
+ * Holds the current endpoint list and applies its changes, in this order: the connection pool gets
+ * the addresses; the routing policy is notified, and from then on chooses no draining or removed
+ * host; last, the pool withholds unwritten exchanges with these hosts.
  */
 final class EndpointRegistry {
   private final Map<HostId, EndpointAddress> endpoints = new LinkedHashMap<>();
@@ -26,7 +26,7 @@
   /**
    * Creates an empty registry.
    *
-   * @param isRemovalBinding whether a removed host must not be used; else it is kept
+   * @param isRemovalBinding whether a removed host must not be used any more; if false, it is kept
    */
   EndpointRegistry(
       EventLoopClock clock,
@@ -43,29 +43,29 @@
     return endpoints.isEmpty();
   }
 
-  /** Whether a host of that group has ever been listed. */
+  /** Returns whether a host of the given group has ever been listed. */
   boolean hasGroup(GroupId group) {
     return groups.contains(group);
   }
 
-  /** Takes a whole list; a known host that it does not name has been removed. */
+  /** Applies a complete list: known hosts that it does not contain are removed. */
   void replaceAll(List<EndpointAddress> listed, List<PartialEndpoint> partials, boolean fromCache) {
-    List<EndpointAddress> merged = merge(listed, partials);
+    List<EndpointAddress> merged = mergePartials(listed, partials);
     List<HostId> missingHosts = hostsMissingFrom(merged);
     register(merged);
     events.deliver(policy -> policy.endpointsReplaced(clock.now(), endpointsOf(merged), fromCache));
-    releaseLeaving(merged);
+    releaseDrainingAndRemoved(merged);
     missingHosts.forEach(this::remove);
   }
 
-  /** Takes changes to the list; removals of hosts that are not known are left out. */
+  /** Applies changes to the list. The removal of an unknown host is ignored. */
   void update(List<EndpointAddress> updates, List<PartialEndpoint> partials) {
-    List<EndpointAddress> known = new ArrayList<>(updates);
-    known.removeIf(entry -> isRemoved(entry) && !endpoints.containsKey(entry.endpoint().id()));
-    List<EndpointAddress> merged = merge(known, partials);
+    List<EndpointAddress> applicable = new ArrayList<>(updates);
+    applicable.removeIf(entry -> isRemoved(entry) && !endpoints.containsKey(entry.endpoint().id()));
+    List<EndpointAddress> merged = mergePartials(applicable, partials);
     register(merged);
     events.deliver(policy -> policy.endpointsUpdated(clock.now(), endpointsOf(merged)));
-    releaseLeaving(merged);
+    releaseDrainingAndRemoved(merged);
   }
 
   private static List<Endpoint> endpointsOf(List<EndpointAddress> entries) {
@@ -73,35 +73,36 @@
   }
 
   /**
-   * The entries, with the known hosts of the partial ones added. A known host whose state cannot be
-   * read stays as it is.
+   * Returns the given entries, followed by the entries of known hosts with the partial entries
+   * applied to them. A known host without a readable state is returned unchanged; partial entries
+   * for unknown hosts are dropped.
    */
-  private List<EndpointAddress> merge(
+  private List<EndpointAddress> mergePartials(
       List<EndpointAddress> entries, List<PartialEndpoint> partials) {
     List<EndpointAddress> merged = new ArrayList<>(entries);
-    merged.addAll(complete(partials));
+    merged.addAll(resolvePartials(partials));
     return merged;
   }
 
-  private List<EndpointAddress> complete(List<PartialEndpoint> partials) {
-    List<EndpointAddress> completed = new ArrayList<>();
+  private List<EndpointAddress> resolvePartials(List<PartialEndpoint> partials) {
+    List<EndpointAddress> resolved = new ArrayList<>();
     for (PartialEndpoint partial : partials) {
       EndpointAddress known = endpoints.get(partial.id());
       if (known != null) {
-        completed.add(partial.update(known));
+        resolved.add(partial.applyTo(known));
       }
     }
-    return completed;
+    return resolved;
   }
 
-  /** The known hosts that a whole list does not name. */
+  /** Returns the known hosts that a complete list does not contain. */
   private List<HostId> hostsMissingFrom(List<EndpointAddress> listed) {
     Set<HostId> listedHosts = new HashSet<>();
     listed.forEach(entry -> listedHosts.add(entry.endpoint().id()));
     return endpoints.keySet().stream().filter(host -> !listedHosts.contains(host)).toList();
   }
 
-  /** Adds endpoints or replaces what is known of them. */
+  /** Adds or replaces endpoints, also in the connection pool. */
   private void register(List<EndpointAddress> entries) {
     for (EndpointAddress entry : entries) {
       Endpoint endpoint = entry.endpoint();
@@ -112,8 +113,8 @@
     }
   }
 
-  /** Stops the use of the endpoints among these that drain or were removed. */
-  private void releaseLeaving(List<EndpointAddress> entries) {
+  /** Stops using those of the given endpoints that are draining or removed. */
+  private void releaseDrainingAndRemoved(List<EndpointAddress> entries) {
     for (EndpointAddress entry : entries) {
       HostId host = entry.endpoint().id();
       if (entry.endpoint().state() == Endpoint.State.DRAINING) {
@@ -124,7 +125,7 @@
     }
   }
 
-  /** Forgets a removed host, if removal is binding; it may be listed again under its id. */
+  /** Removes a host if removal is binding. The same host may be listed again later. */
   private void remove(HostId host) {
     if (isRemovalBinding) {
       endpoints.remove(host);
--- a/router/src/main/java/rushwood/dispatch/EventLoopClock.java
+++ b/router/src/main/java/rushwood/dispatch/EventLoopClock.java
@@ -5,46 +5,55 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in nanoseconds that never goes back and is read once in each turn of the event loop, so
- * that everything in one turn happens at the same time. Used on the event loop's thread only.
+ * A clock of Unix time in nanoseconds that never goes back. It is read once in each turn of the
+ * event loop, so that everything in one turn has the same timestamp. Also tracks turns and pauses
+ * of the process. Used on the event loop's thread only.
  */
 public final class EventLoopClock {
   /**
-   * The longest time between two turns. Whoever creates a clock schedules a timer that often; a
-   * longer gap then means that the process was paused, not that it was idle.
+   * The longest time between the starts of two turns of an idle event loop. The creator of a clock
+   * must schedule a timer at this interval, so that a much longer gap means that the process was
+   * paused, not that it was idle.
    */
   public static final long MAX_TURN_INTERVAL_NANOS = 20_000_000;
 
-  /** By when sockets have been read after a pause, counted from its end. */
-  private static final long READ_AFTER_PAUSE_NANOS = 20_000_000;
+  /** The time after the end of a pause by which all sockets have been read. */
+  private static final long MAX_READ_DELAY_AFTER_PAUSE_NANOS = 20_000_000;
 
-  /** A loop that waited no longer than this between two turns may not have waited at all. */
-  private static final long SHORT_WAIT_NANOS = 5_000_000;
+  /** After a shorter gap between two turns the event loop may not have waited for input at all. */
+  private static final long MIN_IDLE_GAP_NANOS = 5_000_000;
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long BEFORE_FIRST_TURN = Long.MIN_VALUE;
 
   private final LongSupplier timeSource;
   private final Consumer<Runnable> runAtTurnEnd;
-  private final PauseDetector pauses = new PauseDetector();
+  private final PauseDetector pauseDetector = new PauseDetector();
   private long now = BEFORE_FIRST_TURN;
-  private long turnEnd; // of the turn before the current one
-  private long oldestUnread; // when input may have arrived that is read in the current turn
+  private long previousTurnEnd;
+
+  /** The earliest time at which input that is read in the current turn may have arrived. */
+  private long earliestUnreadArrival;
+
   private long turnNumber;
-  private boolean isCurrent;
+  private boolean isReadInCurrentTurn;
 
   /**
    * Creates a clock.
    *
    * @param timeSource monotonic Unix time in nanoseconds
-   * @param runAtTurnEnd runs a task once the current turn of the event loop has ended
+   * @param runAtTurnEnd runs the given task when the current turn of the event loop has ended
    */
   public EventLoopClock(LongSupplier timeSource, Consumer<Runnable> runAtTurnEnd) {
     this.timeSource = timeSource;
     this.runAtTurnEnd = runAtTurnEnd;
   }
 
-  /** A clock that starts at the system's Unix time and goes on with its monotonic clock. */
+  /**
+   * Creates a clock that starts at the system's Unix time and advances with its monotonic clock.
+   *
+   * @param runAtTurnEnd runs the given task when the current turn of the event loop has ended
+   */
   public static EventLoopClock system(Consumer<Runnable> runAtTurnEnd) {
     Instant start = Instant.now();
     long startNanos = start.getEpochSecond() * NANOS_PER_SECOND + start.getNano();
@@ -52,10 +61,10 @@
     return new EventLoopClock(() -> offset + System.nanoTime(), runAtTurnEnd);
   }
 
-  /** The time of the current turn: Unix time in nanoseconds. */
+  /** Returns the time of the current turn, Unix time in nanoseconds. */
   public long now() {
-    if (!isCurrent) {
-      isCurrent = true;
+    if (!isReadInCurrentTurn) {
+      isReadInCurrentTurn = true;
       startTurn(Math.max(now, timeSource.getAsLong()));
       runAtTurnEnd.accept(this::endTurn);
     }
@@ -65,63 +74,71 @@
   private void startTurn(long time) {
     if (now == BEFORE_FIRST_TURN) {
       now = time;
-      turnEnd = time;
+      previousTurnEnd = time;
     }
-    pauses.turnStarted(now, time);
-    oldestUnread = hasWaitedUntil(time) ? time : now;
+    pauseDetector.turnStarted(now, time);
+    earliestUnreadArrival = wasIdleUntil(time) ? time : now;
     now = time;
     turnNumber++;
   }
 
-  /** Whether the loop had nothing to do before that time; {@code now} is still the last turn's. */
-  private boolean hasWaitedUntil(long time) {
-    long workNanos = turnEnd - now;
-    long waitNanos = time - turnEnd;
-    return waitNanos >= Math.max(SHORT_WAIT_NANOS, workNanos);
+  /**
+   * Returns whether the event loop was waiting for input from the end of the previous turn until
+   * the given time: for at least {@link #MIN_IDLE_GAP_NANOS}, and no shorter than that turn took.
+   * Called while {@code now} is still the time of the previous turn.
+   */
+  private boolean wasIdleUntil(long time) {
+    long workNanos = previousTurnEnd - now;
+    long waitNanos = time - previousTurnEnd;
+    return waitNanos >= Math.max(MIN_IDLE_GAP_NANOS, workNanos);
   }
 
   private void endTurn() {
-    isCurrent = false;
-    turnEnd = Math.max(now, timeSource.getAsLong());
+    isReadInCurrentTurn = false;
+    previousTurnEnd = Math.max(now, timeSource.getAsLong());
   }
 
-  /** Counts the turns: each has a number one higher than the one before. */
+  /** Returns the number of the current turn. Numbers increase by one with each turn. */
   public long turnNumber() {
     now();
     return turnNumber;
   }
 
   /**
-   * Whether there may be input older than {@code maxAgeNanos} that has not been read yet. This is
-   * so in a turn that has lasted that long, in the first turn after such a pause and in the turn
-   * after that: the first may have been started by a signal with no socket looked at, and the
-   * second reads the sockets in no particular order. A task scheduled for later than {@link #now}
-   * runs after both.
+   * Returns whether there may be unread input that is older than {@code maxAgeNanos}. This is the
+   * case in a turn that has lasted longer than that, and in the first two turns after a pause
+   * longer than that: a signal may have started the first one without any socket being polled, and
+   * the second one reads the sockets in no particular order. A task scheduled for later than {@link
+   * #now} runs after both.
    */
   public boolean canHaveUnreadInput(long maxAgeNanos) {
     long time = timeSource.getAsLong();
-    return pauses.hasPausedInLastTurns(maxAgeNanos, time - now());
+    return pauseDetector.hasRecentPauseLongerThan(maxAgeNanos, time - now());
   }
 
   /**
-   * The longest recent pause of this process in nanoseconds, 0 if there was none. Its value decays
-   * exponentially with a half-life of ten seconds.
+   * Returns the longest recent pause of this process in nanoseconds, 0 if there was none. The value
+   * of a pause decays exponentially with a half-life of ten seconds.
    */
   public long recentLongestPauseNanos() {
-    return pauses.recentLongest(now);
+    return pauseDetector.recentLongestNanos(now);
   }
 
   /**
-   * The earliest time at which input that is read now may have arrived. A client's waiting time
-   * counts from when it wrote. What it wrote during a pause was left unread until its end, and what
-   * it wrote during a turn until the next one; while the loop waits, input is read as it comes.
+   * Returns the earliest time at which input that is read now may have arrived. The waiting time of
+   * a client counts from when it wrote its request: a request written during a pause is not read
+   * before the end of the pause, and one written during a turn is not read before the next turn.
+   * While the event loop waits, input is read as soon as it arrives.
    */
   public long earliestArrival() {
-    return Math.min(recentPauseStartOrNow(READ_AFTER_PAUSE_NANOS), oldestUnread);
+    return Math.min(recentPauseStartOrNow(MAX_READ_DELAY_AFTER_PAUSE_NANOS), earliestUnreadArrival);
   }
 
-  /** The earliest start of a pause that may have kept a signal from getting here at once. */
+  /**
+   * Returns the start of the last pause if it ended at most {@code maxAgeNanos} ago, else the time
+   * of the current turn. A signal or input handled now may have arrived as early as that.
+   */
   public long recentPauseStartOrNow(long maxAgeNanos) {
-    return pauses.startOfPauseWithin(maxAgeNanos, now());
+    return pauseDetector.startOfPauseEndedWithin(maxAgeNanos, now());
   }
 }
--- a/router/src/main/java/rushwood/dispatch/Exchange.java
+++ b/router/src/main/java/rushwood/dispatch/Exchange.java
@@ -7,12 +7,12 @@
 
 /**
  * One statement to a host and the response to it: an attempt at a request, or a health check. An
- * exchange is given to a connection, written, and completed once, with the response of the host or
- * with the reason why there is none.
+ * exchange is assigned to a connection, written, and completed exactly once, with the response of
+ * the host or with an outcome that says why there is none.
  */
 abstract class Exchange {
   /** A write deadline that never passes. */
-  static final long NO_DEADLINE = Long.MAX_VALUE;
+  static final long NO_WRITE_DEADLINE = Long.MAX_VALUE;
 
   private final HostId host;
   private final long writeDeadline;
@@ -20,19 +20,24 @@
   private boolean isCompleted;
 
   /**
-   * Creates an exchange that is not on a connection yet.
+   * Creates an exchange that is not assigned to a connection yet.
    *
-   * @param writeDeadline from when on it must not be written any more, or {@link #NO_DEADLINE}
+   * @param writeDeadline the time from which on the statement must not be written any more, or
+   *     {@link #NO_WRITE_DEADLINE}
    */
   Exchange(HostId host, long writeDeadline) {
     this.host = host;
     this.writeDeadline = writeDeadline;
   }
 
-  /** The message to write; the caller releases it. */
+  /**
+   * Encodes the message to write; the caller releases it.
+   *
+   * @param now the current time
+   */
   abstract ByteBuf encodeStatement(long now);
 
-  /** Whether this is a health check, which is answered with a load report. */
+  /** Returns whether this is a health check, which a host answers with a load report. */
   abstract boolean isHealthCheck();
 
   /** Called once, when the exchange is over; the implementation releases the response. */
@@ -42,11 +47,11 @@
     return host;
   }
 
-  boolean isTooLateToWrite(long now) {
+  boolean isWriteDeadlinePassed(long now) {
     return now >= writeDeadline;
   }
 
-  /** Whether the statement was handed to a connection whose response is still to come. */
+  /** Returns whether the statement was passed to a connection and its response is outstanding. */
   boolean isAwaitingResponse() {
     return connection != null && connection.isAwaitingResponse();
   }
@@ -55,17 +60,15 @@
     return isCompleted;
   }
 
-  /** Puts the exchange on a connection. */
   void assignTo(PooledConnection assigned) {
     connection = assigned;
   }
 
-  /** Takes the exchange off its connection. */
   void unassign() {
     connection = null;
   }
 
-  /** Ends the exchange; later responses are released and otherwise ignored. */
+  /** Completes the exchange. If it is completed already, only releases the response. */
   final void complete(BackendResponse response) {
     if (isCompleted) {
       response.release();
@@ -76,8 +79,10 @@
   }
 
   /**
-   * Ends the exchange without waiting any longer, unless it is over. Its outcome is the given one
-   * if the statement was written, else that it was not sent: such a statement cannot have run.
+   * Ends the exchange without waiting for a response, unless it is completed.
+   *
+   * @param outcome the outcome if the statement was passed to a connection; else the statement
+   *     cannot have run, and the outcome is {@link AttemptOutcome#NOT_SENT}
    */
   final void stop(AttemptOutcome outcome) {
     if (!isCompleted) {
@@ -86,7 +91,7 @@
     }
   }
 
-  /** Ends the exchange with that response in place of the host's. */
+  /** Ends the exchange with the given response instead of one from the host. */
   final void abort(BackendResponse response) {
     if (connection != null) {
       connection.abandonExchange();
--- a/router/src/main/java/rushwood/dispatch/HealthCheckRunner.java
+++ b/router/src/main/java/rushwood/dispatch/HealthCheckRunner.java
@@ -4,10 +4,7 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.HostId;
 
-/**
- * Sends the health checks that the routing policy asks for and reports to it whether they are
- * answered.
- */
+/** Sends the health checks that the routing policy asks for and reports their results to it. */
 final class HealthCheckRunner {
   private final EventLoopClock clock;
   private final TimerQueue timers;
@@ -20,8 +17,8 @@
   /**
    * Creates a runner.
    *
-   * @param connector makes the statement of a health check
-   * @param timeoutNanos how long the response to a health check is waited for
+   * @param connector creates the statement of a health check
+   * @param timeoutNanos the time limit of a health check, including that for connecting
    */
   HealthCheckRunner(
       EventLoopClock clock,
@@ -40,7 +37,7 @@
     this.timeoutNanos = timeoutNanos;
   }
 
-  /** Sends a health check to a host; one that cannot be sent ends at once, unanswered. */
+  /** Sends a health check to a host. One that cannot be sent ends at once as unanswered. */
   void start(HostId host) {
     counters.increment(Counter.PROBES_SENT);
     HealthCheckExchange healthCheck = new HealthCheckExchange(host);
@@ -50,7 +47,7 @@
 
   private final class HealthCheckExchange extends Exchange {
     HealthCheckExchange(HostId host) {
-      super(host, NO_DEADLINE);
+      super(host, NO_WRITE_DEADLINE);
     }
 
     @Override
--- a/router/src/main/java/rushwood/dispatch/InFlightRequest.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequest.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 import rushwood.api.RequestId;
 
-/** A request that still waits for its final response or for an attempt to end. */
+/** A request that has no final response yet, or has an attempt in flight. */
 final class InFlightRequest {
   private final RequestId id;
   private final Statement statement;
@@ -28,7 +28,7 @@
     return statement;
   }
 
-  /** All attempts so far, in the order of their numbers. */
+  /** Returns all attempts so far, ended ones included, indexed by attempt number. */
   List<AttemptExchange> attempts() {
     return attempts;
   }
@@ -50,22 +50,23 @@
     attemptsInFlight--;
   }
 
-  /** Whether the client has its final response, or waits for none any more. */
+  /** Returns whether the final response was sent, or is not needed as the client disconnected. */
   boolean isAnswered() {
     return responder == null;
   }
 
+  /** Returns whether the request is answered and has no attempt in flight. */
   boolean isFinished() {
     return isAnswered() && attemptsInFlight == 0;
   }
 
   /**
-   * Marks the request as answered and returns what sends the final response.
+   * Marks the request as answered and returns the responder for its final response.
    *
-   * @throws NullPointerException if it was answered before
+   * @throws NullPointerException if the request is answered already
    */
   ClientResponder takeResponder() {
-    ClientResponder taken = Objects.requireNonNull(responder, "a request is answered once");
+    ClientResponder taken = Objects.requireNonNull(responder, "request is answered already");
     responder = null;
     return taken;
   }
--- a/router/src/main/java/rushwood/dispatch/InFlightRequests.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequests.java
@@ -9,13 +9,13 @@
 import rushwood.api.RequestId;
 import rushwood.api.RoutingPolicy;
 
-/** The requests in flight, and the ids of those that finished a moment ago. */
+/** Holds the requests in flight, and the ids of recently finished requests. */
 final class InFlightRequests {
-  /** How many ids of finished requests are kept: those of some seconds. */
-  private static final int MAX_RECENT_IDS = 2000;
+  /** The number of ids of finished requests that are kept, those of the last seconds. */
+  private static final int MAX_RECENTLY_FINISHED_IDS = 2000;
 
   private final Map<RequestId, InFlightRequest> requests = new HashMap<>();
-  private final Set<RequestId> recentIds = new LinkedHashSet<>();
+  private final Set<RequestId> recentlyFinishedIds = new LinkedHashSet<>();
   private final Counters counters;
   private final PolicyEventQueue events;
   private long unansweredCount;
@@ -26,44 +26,44 @@
   }
 
   InFlightRequest add(RequestId id, Statement statement, ClientResponder responder) {
-    counters.checkInvariant(!requests.containsKey(id), "an id stands for one request");
+    counters.checkInvariant(!requests.containsKey(id), "the id of a new request is not in flight");
     InFlightRequest request = new InFlightRequest(id, statement, responder);
     requests.put(id, request);
     unansweredCount++;
     return request;
   }
 
-  /** The request of that id, if it is in flight. */
+  /** Returns the request with the given id, or null if it is not in flight. */
   @Nullable InFlightRequest find(RequestId id) {
     return requests.get(id);
   }
 
-  /** The request of that id, if it is in flight and waits for its final response. */
+  /** Returns the request with the given id, or null if it is not in flight or is answered. */
   @Nullable InFlightRequest findUnanswered(RequestId id) {
     InFlightRequest request = requests.get(id);
     return request == null || request.isAnswered() ? null : request;
   }
 
-  /** Whether a request of that id is in flight or was so a moment ago. */
+  /** Returns whether a request with the given id is in flight or finished recently. */
   boolean isIdInUse(RequestId id) {
-    return requests.containsKey(id) || recentIds.contains(id);
+    return requests.containsKey(id) || recentlyFinishedIds.contains(id);
   }
 
-  /** How many requests wait for their final response. */
+  /** Returns the number of requests without a final response. */
   long unansweredCount() {
     return unansweredCount;
   }
 
-  /** Marks an unanswered request as answered and returns what sends the final response. */
+  /** Marks an unanswered request as answered and returns the responder for its final response. */
   ClientResponder markAnswered(InFlightRequest request) {
     unansweredCount--;
     return request.takeResponder();
   }
 
   /**
-   * Delivers an event about a request to the routing policy, and forgets the request if it is
-   * finished then. If the policy fails over the event and the request has no attempt in flight, the
-   * request fails: nothing else would answer its client.
+   * Delivers an event about a request to the routing policy, and removes the request if it is
+   * finished afterwards. If the policy throws and the request has no attempt in flight, the request
+   * fails because nothing else would answer its client.
    */
   void notifyPolicy(InFlightRequest request, Consumer<RoutingPolicy> event) {
     events.deliver(
@@ -73,17 +73,19 @@
             counters.increment(Counter.REQUESTS_FAILED);
             markAnswered(request).sendFailure();
           }
-          forgetIfFinished(request);
+          removeIfFinished(request);
         });
   }
 
-  /** Forgets a request that is answered and has no attempt in flight, but for its id. */
-  void forgetIfFinished(InFlightRequest request) {
+  /**
+   * Releases and removes a finished request and keeps its id; does nothing for an unfinished one.
+   */
+  void removeIfFinished(InFlightRequest request) {
     if (request.isFinished() && requests.remove(request.id(), request)) {
       request.statement().release();
-      recentIds.add(request.id());
-      if (recentIds.size() > MAX_RECENT_IDS) {
-        recentIds.remove(recentIds.iterator().next());
+      recentlyFinishedIds.add(request.id());
+      if (recentlyFinishedIds.size() > MAX_RECENTLY_FINISHED_IDS) {
+        recentlyFinishedIds.remove(recentlyFinishedIds.iterator().next());
       }
     }
   }
--- a/router/src/main/java/rushwood/dispatch/OpenConnections.java
+++ b/router/src/main/java/rushwood/dispatch/OpenConnections.java
@@ -2,7 +2,7 @@
 
 import rushwood.overload.DescriptorBudget;
 
-/** Counts the open connections to hosts, also against their share of the file descriptors. */
+/** Counts the open connections to hosts and reports their number to the descriptor budget. */
 final class OpenConnections {
   private final DescriptorBudget descriptors;
   private final EventLoopClock clock;
@@ -17,19 +17,20 @@
 
   void opened() {
     counters.increment(Counter.CONNECTIONS_OPENED);
-    update(count + 1);
+    setCount(count + 1);
   }
 
   void closed() {
     counters.increment(Counter.CONNECTIONS_CLOSED);
-    update(count - 1);
+    setCount(count - 1);
   }
 
-  private void update(int changed) {
-    count = changed;
+  private void setCount(int newCount) {
+    count = newCount;
     descriptors.setOpenBackends(count, clock.now());
   }
 
+  /** Returns whether no further connection may be opened within the descriptor budget. */
   boolean isAtLimit() {
     return count >= descriptors.maxBackends();
   }
--- a/router/src/main/java/rushwood/dispatch/PartialEndpoint.java
+++ b/router/src/main/java/rushwood/dispatch/PartialEndpoint.java
@@ -5,15 +5,17 @@
 import rushwood.api.HostId;
 
 /**
- * What can be read of a list entry that is malformed as a whole.
+ * The readable fields of a malformed entry of an endpoint list.
  *
  * @param id the host that the entry names
- * @param state the host's lifecycle state, if it can be read
+ * @param state the host's lifecycle state; null if it cannot be read
  */
 public record PartialEndpoint(HostId id, Endpoint.@Nullable State state) {
 
-  /** What is known of the host, in the state that could be read; if none could, in its old one. */
-  EndpointAddress update(EndpointAddress known) {
+  /**
+   * Returns the known entry of the host with this state, or unchanged if no state could be read.
+   */
+  EndpointAddress applyTo(EndpointAddress known) {
     return state == null ? known : known.withState(state);
   }
 }
--- a/router/src/main/java/rushwood/dispatch/PolicyEventQueue.java
+++ b/router/src/main/java/rushwood/dispatch/PolicyEventQueue.java
@@ -8,8 +8,8 @@
 import rushwood.api.RoutingPolicy;
 
 /**
- * Calls the routing policy, one event at a time and in the order of events. An event that comes up
- * while the policy handles another one waits until that call has returned.
+ * Delivers events to the routing policy, one at a time and in order. An event that occurs while the
+ * policy handles another one is queued until that call has returned.
  */
 final class PolicyEventQueue {
   private final Deque<Consumer<RoutingPolicy>> pending = new ArrayDeque<>();
@@ -21,12 +21,12 @@
     this.counters = counters;
   }
 
-  /** Sets the policy, once and before the first event. */
-  void attach(RoutingPolicy attached) {
-    policy = attached;
+  /** Sets the policy. Must be called once, before the first event. */
+  void setPolicy(RoutingPolicy newPolicy) {
+    policy = newPolicy;
   }
 
-  /** Delivers an event, at once if no other one is being delivered. */
+  /** Delivers an event: at once, or after those before it if one is being delivered. */
   void deliver(Consumer<RoutingPolicy> event) {
     pending.add(event);
     if (isDelivering) {
@@ -41,9 +41,9 @@
   }
 
   private void deliverPending() {
-    RoutingPolicy attached = Objects.requireNonNull(policy, "attach comes before the first event");
+    RoutingPolicy currentPolicy = Objects.requireNonNull(policy, "no policy was set");
     for (var event = pending.poll(); event != null; event = pending.poll()) {
-      counters.runSafely(event, attached);
+      counters.runSafely(event, currentPolicy);
     }
   }
 }
--- a/router/src/main/java/rushwood/dispatch/PolicyTimer.java
+++ b/router/src/main/java/rushwood/dispatch/PolicyTimer.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 import rushwood.api.RoutingPolicy;
 
-/** Wakes the routing policy at the one time that it asked for last. */
+/** The single timer of the routing policy; each new wake-up time replaces the previous one. */
 final class PolicyTimer {
   private final EventLoopClock clock;
   private final TimerQueue timers;
@@ -16,7 +16,9 @@
     this.events = events;
   }
 
-  /** Calls {@link RoutingPolicy#timerFired} at that time, in place of the time set before. */
+  /**
+   * Schedules {@link RoutingPolicy#timerFired} for the given time instead of the time set before.
+   */
   void wakeAt(long time) {
     if (scheduled != null) {
       scheduled.cancel();
--- a/router/src/main/java/rushwood/dispatch/PooledConnection.java
+++ b/router/src/main/java/rushwood/dispatch/PooledConnection.java
@@ -6,20 +6,19 @@
 import rushwood.api.AttemptOutcome;
 
 /**
- * One connection of the pool and the exchange that it carries. It is opened for a first exchange,
- * which is written once the connection is up, and is idle between exchanges.
+ * A connection of the pool and the exchange that it carries. It is opened for a first exchange,
+ * which is written once the connection is established, and is idle between exchanges.
  */
 final class PooledConnection implements BackendConnection.Listener {
   private enum State {
-    /** Not up yet; its first exchange waits, or was abandoned. */
+    /** Not established yet; its first exchange waits for that, or was abandoned. */
     CONNECTING,
-    /** Up, with an exchange that is not written yet, or was abandoned before. */
+    /** Established, with an exchange that is not written yet or was abandoned unwritten. */
     ASSIGNED,
-    /** An exchange was written, and its response is still to come. */
+    /** An exchange was written, and its response is outstanding. */
     AWAITING_RESPONSE,
-    /** Up and in the pool, without an exchange. */
+    /** Established and without an exchange; the pool may reuse the connection. */
     IDLE,
-    /** Closed for good. */
     CLOSED
   }
 
@@ -35,9 +34,9 @@
   private @Nullable BackendConnection backend;
   private @Nullable Exchange exchange;
   private long idleSince;
-  private long idleBeforeUseNanos;
+  private long idleBeforeReuseNanos;
 
-  /** Counts as open from now on; {@link #connect} has to follow. */
+  /** Creates a connection that counts as open at once; {@link #connect} has to be called next. */
   PooledConnection(
       EndpointPool endpoint,
       ConnectAttempts connectAttempts,
@@ -61,12 +60,12 @@
     return state == State.AWAITING_RESPONSE;
   }
 
-  /** Whether the connection is up and can carry the next exchange. */
+  /** Returns whether the connection is still usable; must not be called before {@link #connect}. */
   boolean isOpen() {
     return backend().isOpen();
   }
 
-  /** When the connection became idle; meaningful while it is idle only. */
+  /** Returns the time at which the connection became idle; meaningful only while it is idle. */
   long idleSince() {
     return idleSince;
   }
@@ -77,12 +76,12 @@
     backend = connector.connect(address, this);
   }
 
-  /** Uses the connection, which was idle and has been taken out of the pool, once more. */
+  /** Reuses the connection, which was idle and has been removed from the pool. */
   void reuse(Exchange nextExchange) {
-    idleBeforeUseNanos = clock.now() - idleSince;
+    idleBeforeReuseNanos = clock.now() - idleSince;
     state = State.ASSIGNED;
     assign(nextExchange);
-    writeAsDecided(nextExchange, writeGate.decideWhenReady(nextExchange));
+    applyWriteDecision(nextExchange, writeGate.decideWhenReady(nextExchange));
   }
 
   private void assign(Exchange assigned) {
@@ -91,7 +90,7 @@
     endpoint.addAwaitingWrite(this);
   }
 
-  private void writeAsDecided(Exchange ready, WriteGate.Decision decision) {
+  private void applyWriteDecision(Exchange ready, WriteGate.Decision decision) {
     switch (decision) {
       case WRITE -> write(ready);
       case DEFER -> writeGate.defer(this::writeDeferred);
@@ -106,7 +105,7 @@
     if (exchange == null) {
       becomeIdle();
     } else {
-      writeAsDecided(exchange, writeGate.decideAfterDeferral(exchange));
+      applyWriteDecision(exchange, writeGate.decideAfterDeferral(exchange));
     }
   }
 
@@ -119,20 +118,23 @@
 
   private void withholdAndBecomeIdle() {
     endpoint.removeAwaitingWrite(this);
-    Exchange withheld = takeExchange();
+    Exchange withheld = detachExchange();
     becomeIdle();
     complete(withheld, writeGate.withhold());
   }
 
-  /** Closes the connection, as its host drains, before anything of its exchange is written. */
+  /** Closes the connection because its host drains, and withholds its unwritten exchange. */
   void withholdAndClose() {
     close();
-    complete(takeExchange(), writeGate.withhold());
+    complete(detachExchange(), writeGate.withhold());
   }
 
-  /** Gives up the exchange; if it was written, only a close can end it. */
+  /**
+   * Detaches the exchange. If it was written, the connection is closed, which is the only way to
+   * end it.
+   */
   void abandonExchange() {
-    takeExchange();
+    detachExchange();
     endpoint.removeAwaitingWrite(this);
     if (state == State.AWAITING_RESPONSE) {
       close();
@@ -141,7 +143,7 @@
 
   private void connectTimedOut() {
     close();
-    complete(takeExchange(), BackendResponse.withoutRow(AttemptOutcome.CONNECT_FAILED));
+    complete(detachExchange(), BackendResponse.withoutRow(AttemptOutcome.CONNECT_FAILED));
   }
 
   @Override
@@ -151,14 +153,15 @@
       becomeIdle();
     } else {
       state = State.ASSIGNED;
-      writeAsDecided(exchange, writeGate.decideWhenReady(exchange));
+      applyWriteDecision(exchange, writeGate.decideWhenReady(exchange));
     }
   }
 
   @Override
   public void responseReceived(BackendResponse response, boolean reusable) {
-    // Idle before the exchange completes: the routing policy may start the next one at once.
-    Exchange finished = takeExchange();
+    // Becomes idle before the exchange completes, so that the connection is in the pool if the
+    // routing policy starts the next exchange at once.
+    Exchange finished = detachExchange();
     if (reusable) {
       becomeIdle();
     } else {
@@ -171,19 +174,20 @@
   public void connectionLost(boolean accepted) {
     connectAttempt.fail();
     if (state == State.AWAITING_RESPONSE) {
-      idleLimit.reuseFailed(idleBeforeUseNanos);
+      idleLimit.reuseFailed(idleBeforeReuseNanos);
     }
-    AttemptOutcome outcome = outcomeOfLoss(accepted);
+    AttemptOutcome outcome = outcomeOfLostConnection(accepted);
     endpoint.removeIdle(this);
     close();
-    complete(takeExchange(), BackendResponse.withoutRow(outcome));
+    complete(detachExchange(), BackendResponse.withoutRow(outcome));
   }
 
   /**
-   * The outcome of an exchange whose connection was lost. A connection that was accepted and breaks
-   * before the statement is written proves that nothing ran, but not that the host is down.
+   * Returns the outcome of an exchange whose connection was lost. If the host accepted the
+   * connection and it broke before the whole statement was written, the statement cannot have run,
+   * but the host is not known to be down.
    */
-  private AttemptOutcome outcomeOfLoss(boolean accepted) {
+  private AttemptOutcome outcomeOfLostConnection(boolean accepted) {
     if (!accepted) {
       return AttemptOutcome.CONNECT_FAILED;
     }
@@ -201,8 +205,8 @@
     }
   }
 
-  /** Takes the exchange off this connection, if there is one. */
-  private @Nullable Exchange takeExchange() {
+  /** Detaches and returns the exchange; returns null if there is none. */
+  private @Nullable Exchange detachExchange() {
     Exchange taken = exchange;
     exchange = null;
     if (taken != null) {
@@ -219,7 +223,7 @@
     }
   }
 
-  /** Closes the connection, if it is not closed; its exchange is left to the caller. */
+  /** Closes the connection if it is open. The caller has to complete its exchange. */
   void close() {
     if (state == State.CLOSED) {
       return;
@@ -233,8 +237,12 @@
     }
   }
 
-  /** The connection to the host; there is one from {@link #connect} on. */
+  /**
+   * Returns the connection to the host.
+   *
+   * @throws NullPointerException before {@link #connect} was called
+   */
   private BackendConnection backend() {
-    return Objects.requireNonNull(backend, "connect comes first");
+    return Objects.requireNonNull(backend, "connect was not called");
   }
 }
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -11,8 +11,8 @@
 import rushwood.api.RoutingPolicy;
 
 /**
- * Passes what happens on the network to the routing policy, and carries out what the policy
- * decides. Decides nothing itself. Used on the event loop's thread only.
+ * Reports network events to the routing policy and executes the actions that the policy orders. All
+ * routing decisions are made by the policy. Used on the event loop's thread only.
  */
 public final class RequestDispatcher {
   private final EventLoopClock clock;
@@ -28,8 +28,8 @@
    * Creates a dispatcher without endpoints.
    *
    * @param connector opens connections to hosts
-   * @param logger takes the policy's log messages
-   * @param policyFactory makes the policy from the actions that are open to it
+   * @param logger receives the policy's log messages
+   * @param policyFactory creates the policy, which orders its actions from the given object
    */
   public RequestDispatcher(
       EventLoopClock clock,
@@ -51,7 +51,7 @@
         new HealthCheckRunner(
             clock, timers, counters, pool, events, connector, settings.connectTimeoutNanos());
     PolicyTimer policyTimer = new PolicyTimer(clock, timers, events);
-    events.attach(
+    events.setPolicy(
         policyFactory.apply(
             new DispatcherActions(
                 counters, requests, attempts, healthChecks, policyTimer, logger)));
@@ -63,10 +63,10 @@
   }
 
   /**
-   * Takes a whole endpoint list. A known host that it does not name has been removed.
+   * Applies a complete endpoint list: known hosts that it does not contain are removed.
    *
-   * @param partials what can be read of malformed entries; a known host of which no state can be
-   *     read stays as it is
+   * @param partials the readable fields of malformed entries; a known host whose state cannot be
+   *     read keeps its state
    * @param fromCache whether the list is the one that this router held before it started
    */
   public void endpointsReplaced(
@@ -74,55 +74,63 @@
     endpoints.replaceAll(listed, partials, fromCache);
   }
 
-  /** Takes changes to the endpoint list, with what can be read of malformed entries. */
+  /**
+   * Applies changes to the endpoint list.
+   *
+   * @param partials the readable fields of malformed entries
+   */
   public void endpointsUpdated(List<EndpointAddress> updates, List<PartialEndpoint> partials) {
     endpoints.update(updates, partials);
   }
 
-  /** Counts a call to discovery that failed. */
+  /** Counts a failed call to discovery. */
   public void endpointRefreshFailed() {
     counters.increment(Counter.ENDPOINT_LISTS_FAILED);
   }
 
-  /** Whether any endpoint is known. */
+  /** Returns whether any endpoint is known. */
   public boolean hasEndpoints() {
     return !endpoints.isEmpty();
   }
 
-  /** Whether a host of that group has ever been listed. */
+  /** Returns whether a host of the given group has ever been listed. */
   public boolean hasGroup(GroupId group) {
     return endpoints.hasGroup(group);
   }
 
-  /** How many hosts are in the connection pool. */
+  /** Returns the number of hosts in the connection pool. */
   int endpointCount() {
     return pool.endpointCount();
   }
 
   /**
-   * Whether a request of that id is in flight or was so a moment ago. Each request has an id of its
-   * own; one that comes twice must not run twice.
+   * Returns whether a request with the given id is in flight or finished recently. Request ids are
+   * unique; a request that is received twice must not run twice.
    */
   public boolean isRequestIdInUse(RequestId id) {
     return requests.isIdInUse(id);
   }
 
-  /** How many requests wait for their final response. */
+  /** Returns the number of requests without a final response. */
   public long unansweredRequests() {
     return requests.unansweredCount();
   }
 
-  /** Like {@link #requestReceived(Statement, long, ClientResponder)}, read in this turn. */
+  /**
+   * Like {@link #requestReceived(Statement, long, ClientResponder)}, for a request that was read in
+   * the current turn of the event loop.
+   */
   public void requestReceived(Statement statement, ClientResponder responder) {
     requestReceived(statement, clock.earliestArrival(), responder);
   }
 
   /**
-   * Takes a request, whose id must not be in use ({@link #isRequestIdInUse}): a second request of
-   * an id would take the place of the first one.
+   * Starts a request. Its id must not be in use ({@link #isRequestIdInUse}): a second request with
+   * the same id would replace the first one.
    *
-   * @param earliestArrival when it may have been sent at the earliest; its time counts from then
-   * @param responder is called once with the final response, unless the client disconnects before
+   * @param earliestArrival the earliest time at which the request may have arrived, from which its
+   *     timeout counts
+   * @param responder called once with the final response, unless the client disconnects before
    */
   public void requestReceived(
       Statement statement, long earliestArrival, ClientResponder responder) {
@@ -133,7 +141,10 @@
     requests.notifyPolicy(inFlight, policy -> policy.requestReceived(now, request));
   }
 
-  /** The client disconnected or cancelled its request, and is owed no response any more. */
+  /**
+   * Handles that a client disconnected or cancelled its request. The request gets no final response
+   * and its unwritten attempts are withheld; does nothing if the request is answered.
+   */
   public void clientDisconnected(RequestId id) {
     InFlightRequest request = requests.findUnanswered(id);
     if (request != null) {
@@ -149,8 +160,10 @@
   }
 
   /**
-   * The router stops at that time, Unix time in nanoseconds: every request, new or in flight, has
-   * to be answered before.
+   * Starts the shutdown of the router.
+   *
+   * @param lastAnswerTime the time, Unix time in nanoseconds, before which every request, new or in
+   *     flight, has to be answered
    */
   public void shuttingDown(long lastAnswerTime) {
     shutdownDeadline = lastAnswerTime;
--- a/router/src/main/java/rushwood/dispatch/Statement.java
+++ b/router/src/main/java/rushwood/dispatch/Statement.java
@@ -3,20 +3,26 @@
 import io.netty.buffer.ByteBuf;
 import rushwood.api.Request;
 
-/** A request as a client wrote it. */
+/** The statement of a request, as received from a client. */
 public interface Statement {
   /**
-   * The request that the routing policy is told of. Times are Unix times in nanoseconds.
+   * Returns the request that is passed to the routing policy. Times are Unix times in nanoseconds.
    *
    * @param now the current time
-   * @param earliestArrival when the statement may have arrived; its deadline counts from then
-   * @param latestDeadline a bound on the deadline
+   * @param earliestArrival the earliest time at which the statement may have arrived, from which
+   *     its timeout counts
+   * @param latestDeadline the upper bound of the deadline
    */
   Request toRequest(long now, long earliestArrival, long latestDeadline);
 
-  /** A message to a host that is waited for that many milliseconds; the caller releases it. */
+  /**
+   * Returns a new message to a host; the caller releases it.
+   *
+   * @param timeoutMillis how long the router waits for the response, which the message tells the
+   *     host
+   */
   ByteBuf toMessage(long timeoutMillis);
 
-  /** Releases the statement: no further message is made of it. */
+  /** Releases the statement. It must not be used afterwards. */
   void release();
 }
--- a/router/src/main/java/rushwood/dispatch/TimerQueue.java
+++ b/router/src/main/java/rushwood/dispatch/TimerQueue.java
@@ -4,18 +4,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The scheduled tasks of one router, run from a single timer in the order of their due times; tasks
- * due at the same time run in the order in which they were scheduled. Used on the event loop's
- * thread only.
+ * Runs the scheduled tasks of one router from a single timer, in the order of their due times.
+ * Tasks due at the same time run in the order in which they were scheduled. Used on the event
+ * loop's thread only.
  */
 public final class TimerQueue {
-  /** The timer that the queue is run from. */
+  /** A one-shot timer that drives the queue. */
   public interface Timer {
-    /** Runs the task once, {@code delayNanos} from now, in place of the task set before. */
+    /** Schedules the task to run once after {@code delayNanos}, and cancels the previous one. */
     void reschedule(long delayNanos, Runnable task);
   }
 
-  /** A task that waits for its due time and can be cancelled until then. */
+  /** A scheduled task, which can be cancelled until it runs. */
   public static final class ScheduledTask implements Comparable<ScheduledTask> {
     private final long dueAt;
     private final long sequence;
@@ -30,18 +30,18 @@
     /**
      * Cancels the task.
      *
-     * @return whether it was still to be run
+     * @return whether the task was still pending, neither run nor cancelled before
      */
     public boolean cancel() {
-      return take() != null;
+      return takeTask() != null;
     }
 
     private boolean isPending() {
       return task != null;
     }
 
-    /** The task, to be run once, unless it was run or cancelled before. */
-    private @Nullable Runnable take() {
+    /** Returns the task and clears it; returns null if it was run or cancelled before. */
+    private @Nullable Runnable takeTask() {
       Runnable taken = task;
       task = null;
       return taken;
@@ -55,15 +55,18 @@
     }
   }
 
-  /** Long enough that a busy time of many late turns counts with its longest. */
+  /** Long enough that the longest delay in a busy period of many late turns still counts. */
   private static final long LATENESS_HALF_LIFE_NANOS = 1_000_000_000L;
 
-  /** A timer that fires this late shows that the process was paused: some turns of the loop. */
+  /**
+   * A timer that fires later than this indicates that the process was paused. The threshold is as
+   * long as several turns of the event loop.
+   */
   private static final long PAUSE_THRESHOLD_NANOS = 10_000_000;
 
   private static final long NOT_ARMED = Long.MAX_VALUE;
 
-  /** Earlier than any task: the timer is not set while due tasks run. */
+  /** Earlier than the due time of any task, so that the timer is not set while tasks run. */
   private static final long RUNNING_TASKS = Long.MIN_VALUE;
 
   private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
@@ -73,17 +76,24 @@
   private long nextSequence;
   private final DecayingMaximum lateness = new DecayingMaximum(LATENESS_HALF_LIFE_NANOS);
   private long armedFor = NOT_ARMED;
-  private long dueAtEarliest; // when the armed timer is due, but not before it was armed
+
+  /** When the armed timer is due; the time at which it was armed if that is later. */
+  private long expectedFireTime;
+
   private boolean deferredForReads;
 
-  /** Creates an empty queue; exceptions of its tasks are counted and reported by the counters. */
+  /** Creates an empty queue whose tasks run in {@link Counters#runSafely(Runnable)}. */
   public TimerQueue(EventLoopClock clock, Timer timer, Counters counters) {
     this.clock = clock;
     this.timer = timer;
     this.counters = counters;
   }
 
-  /** Runs a task once the clock has reached {@code dueAt}, Unix time in nanoseconds. */
+  /**
+   * Schedules a task.
+   *
+   * @param dueAt when the task is due, Unix time in nanoseconds; a time in the past is due at once
+   */
   public ScheduledTask schedule(long dueAt, Runnable task) {
     ScheduledTask scheduled = new ScheduledTask(dueAt, nextSequence++, task);
     tasks.add(scheduled);
@@ -97,14 +107,14 @@
     }
     if (!tasks.isEmpty() && tasks.peek().dueAt < armedFor) {
       armedFor = tasks.peek().dueAt;
-      dueAtEarliest = Math.max(armedFor, clock.now());
+      expectedFireTime = Math.max(armedFor, clock.now());
       timer.reschedule(Math.max(0, armedFor - clock.now()), this::onTimer);
     }
   }
 
   /**
-   * Runs the due tasks; after a pause one turn of the event loop later, so that sockets are read
-   * first and no response that has already arrived is taken for one that timed out.
+   * Runs the due tasks. After a pause of the process, they run one turn of the event loop later:
+   * sockets are read first, so that a response that has already arrived is not timed out.
    */
   private void onTimer() {
     long now = clock.now();
@@ -114,7 +124,7 @@
       return;
     }
     deferredForReads = false;
-    lateness.record(Math.max(0, now - dueAtEarliest), now);
+    lateness.record(Math.max(0, now - expectedFireTime), now);
     armedFor = RUNNING_TASKS;
     try {
       runDueTasks(now);
@@ -125,8 +135,9 @@
   }
 
   /**
-   * By how much tasks have run late at most, in nanoseconds, where a value counts half after a
-   * second. A task that answers a client has to be due that much earlier to be in time.
+   * Returns the maximum recent delay in nanoseconds with which tasks were run after their due time;
+   * each delay decays with a half-life of one second. A task that has to answer a client by a
+   * deadline should be scheduled earlier by this much.
    */
   public long recentLatenessNanos() {
     return lateness.at(clock.now());
@@ -134,7 +145,7 @@
 
   private void runDueTasks(long now) {
     while (!tasks.isEmpty() && tasks.peek().dueAt <= now) {
-      Runnable task = tasks.poll().take();
+      Runnable task = tasks.poll().takeTask();
       if (task != null) {
         counters.runSafely(task);
       }
--- a/router/src/main/java/rushwood/dispatch/WriteGate.java
+++ b/router/src/main/java/rushwood/dispatch/WriteGate.java
@@ -3,90 +3,95 @@
 import rushwood.api.AttemptOutcome;
 
 /**
- * Decides whether a statement that the routing policy has sent is written to its host now, later or
- * never. What is never written is withheld:
+ * Decides whether a statement is written to its host now, written later, or withheld, that is never
+ * written:
  *
  * <ul>
- *   <li>Withheld, as the host drains or was removed: nothing new may reach it once its drain grace
- *       is over. Asked as an exchange starts; also for each unwritten exchange of a host as it
- *       begins to drain ({@link EndpointPool#startDraining}).
- *   <li>Withheld, as the client disconnected or cancelled its request: nobody waits for the
- *       response. Done as the client leaves ({@link AttemptRunner#withholdUnwritten}), also where
- *       hosts cannot be told to stop what they have begun.
- *   <li>Deferred, as input may be unread that is older than {@link #maxUnreadNanos}: it could say
- *       that the host drains or that the client has left. Asked once, when the connection is ready.
- *   <li>Withheld, as the write deadline of the exchange has passed: the end of its timeout or, for
- *       a retry under an idempotency key, of the window of that key. Asked last before the write.
- *   <li>Otherwise written.
+ *   <li>Withheld if the host is draining or was removed: no new statement may reach it once its
+ *       drain grace is over. Checked when an exchange starts, and for each unwritten exchange of a
+ *       host when the host begins to drain ({@link EndpointPool#startDraining}).
+ *   <li>Withheld if the client disconnected or cancelled its request, because nobody waits for the
+ *       response. This happens when the client disconnects ({@link
+ *       AttemptRunner#withholdUnwritten}), even where hosts cannot cancel a statement that they
+ *       have started.
+ *   <li>Deferred if there may be unread input older than {@link #maxReadDelayNanos}, which could
+ *       say that the host drains or that the client has disconnected. Checked once, when the
+ *       connection is ready.
+ *   <li>Withheld if the write deadline of the exchange has passed: the end of the attempt's timeout
+ *       or, for a retry under an idempotency key, the end of the key's window. Checked directly
+ *       before the write.
+ *   <li>Written otherwise.
  * </ul>
  *
- * <p>A withheld statement has provably not run: its exchange ends as {@link
- * AttemptOutcome#NOT_SENT}, and the routing policy chooses anew.
+ * <p>A withheld statement has not run. Its exchange ends as {@link AttemptOutcome#NOT_SENT}, and
+ * the routing policy may choose another host.
  */
 final class WriteGate {
-  /** What is to be done with a statement. */
+  /** What to do with a statement. */
   enum Decision {
-    /** It is written now. */
+    /** Write it now. */
     WRITE,
-    /** It is written in a later turn of the event loop, if nothing ends it before. */
+    /** Write it in a later turn of the event loop, unless its exchange ends before. */
     DEFER,
-    /** It is never written; {@link #withhold} gives the end of its exchange. */
+    /** Do not write it; {@link #withhold} returns the response that ends its exchange. */
     WITHHOLD
   }
 
   /**
-   * How long the sockets of clients may go unread before a write. Nothing is to be written later
-   * than 0.1 s after its client disconnected; this is half of that.
+   * The maximum time that the sockets of clients may have gone unread before a write. No statement
+   * may be written later than 0.1 s after its client disconnected; this is half of that.
    */
-  private static final long MAX_UNREAD_CLIENT_NANOS = 50_000_000L;
+  private static final long MAX_CLIENT_READ_DELAY_NANOS = 50_000_000L;
 
-  /** The part of the drain grace for which discovery's socket may go unread before a write. */
+  /** Discovery's socket may have gone unread for the drain grace divided by this before a write. */
   private static final int DRAIN_GRACE_DIVISOR = 4;
 
   private final EventLoopClock clock;
   private final TimerQueue timers;
   private final Counters counters;
-  private final long maxUnreadNanos;
+  private final long maxReadDelayNanos;
 
   /**
-   * Creates the gate of all connections to hosts.
+   * Creates the gate for all connections to hosts.
    *
-   * @param drainGraceNanos within which time of its draining a host must get no new statement
+   * @param drainGraceNanos the time after the start of its drain from which on a host must not
+   *     receive new statements
    */
   WriteGate(EventLoopClock clock, TimerQueue timers, Counters counters, long drainGraceNanos) {
     this.clock = clock;
     this.timers = timers;
     this.counters = counters;
-    maxUnreadNanos = Math.min(drainGraceNanos / DRAIN_GRACE_DIVISOR, MAX_UNREAD_CLIENT_NANOS);
+    maxReadDelayNanos =
+        Math.min(drainGraceNanos / DRAIN_GRACE_DIVISOR, MAX_CLIENT_READ_DELAY_NANOS);
   }
 
-  /** Decides about an exchange that is to start at a host. */
+  /** Decides on an exchange that is about to start on a host. */
   Decision decideAtStart(EndpointPool endpoint) {
     return endpoint.isDraining() ? Decision.WITHHOLD : Decision.WRITE;
   }
 
-  /** Decides about an exchange whose connection is ready. */
+  /** Decides on an exchange whose connection is ready. */
   Decision decideWhenReady(Exchange exchange) {
-    return clock.canHaveUnreadInput(maxUnreadNanos)
+    return clock.canHaveUnreadInput(maxReadDelayNanos)
         ? Decision.DEFER
         : decideAfterDeferral(exchange);
   }
 
-  /** Decides about an exchange that was deferred; it is not deferred again. */
+  /** Decides on an exchange that was deferred; it is not deferred again. */
   Decision decideAfterDeferral(Exchange exchange) {
-    return exchange.isTooLateToWrite(clock.now()) ? Decision.WITHHOLD : Decision.WRITE;
+    return exchange.isWriteDeadlinePassed(clock.now()) ? Decision.WITHHOLD : Decision.WRITE;
   }
 
   /**
-   * Runs a write that is deferred. The next turn of the event loop reads all sockets, in no
-   * particular order, so the write runs in the turn after that one.
+   * Schedules a deferred write. The next turn of the event loop reads all sockets, in no particular
+   * order, so the write runs in the turn after it.
    */
   void defer(Runnable write) {
     counters.increment(Counter.ATTEMPTS_DEFERRED);
     timers.schedule(clock.now() + 1, write);
   }
 
-  /** Counts a statement that is withheld; returns the end of its exchange. */
+  /** Counts a withheld statement and returns the response that ends its exchange. */
   BackendResponse withhold() {
     counters.increment(Counter.ATTEMPTS_WITHHELD);
     return BackendResponse.withoutRow(AttemptOutcome.NOT_SENT);
--- a/router/src/test/java/rushwood/dispatch/CountersTest.java
+++ b/router/src/test/java/rushwood/dispatch/CountersTest.java
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @EnumSource
   void eachOutcomeHasACounterOfItsName(AttemptOutcome outcome) {
-    assertEquals("ATTEMPTS_" + outcome, Counter.ofAttempts(outcome).name());
+    assertEquals("ATTEMPTS_" + outcome, Counter.forAttemptOutcome(outcome).name());
   }
 
   @Test
--- a/router/src/test/java/rushwood/dispatch/FakeEventLoop.java
+++ b/router/src/test/java/rushwood/dispatch/FakeEventLoop.java
@@ -10,8 +10,8 @@
   private final List<Runnable> turnEnds = new ArrayList<>();
   private long time;
   private Runnable timerTask;
-  private long timerAt;
-  private long timerDelay;
+  private long timerDueAt;
+  private long timerDelayNanos;
 
   public final Counters counters = new Counters();
   public final EventLoopClock clock = new EventLoopClock(() -> time, turnEnds::add);
@@ -19,13 +19,13 @@
 
   private void setTimer(long delayNanos, Runnable task) {
     timerTask = task;
-    timerAt = time + delayNanos;
-    timerDelay = delayNanos;
+    timerDueAt = time + delayNanos;
+    timerDelayNanos = delayNanos;
   }
 
   /** The delay with which the timer was last set. */
   long timerDelayNanos() {
-    return timerDelay;
+    return timerDelayNanos;
   }
 
   long timeMillis() {
@@ -65,8 +65,8 @@
   void advanceTo(long millis) {
     long until = millis * NANOS_PER_MILLI;
     endTurn();
-    while (timerTask != null && timerAt <= until) {
-      time = Math.max(time, timerAt); // a pause may have passed it
+    while (timerTask != null && timerDueAt <= until) {
+      time = Math.max(time, timerDueAt); // a pause may have passed it
       runTimerTask();
       endTurn();
     }
