--- a/router/src/main/java/rushwood/dispatch/Exchange.java
+++ b/router/src/main/java/rushwood/dispatch/Exchange.java
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Encodes the message to write; the caller releases it.
+   * Encodes the message to write, which the caller takes ownership of.
    *
    * @param now the current time
    */
--- a/router/src/main/java/rushwood/dispatch/IdleLimit.java
+++ b/router/src/main/java/rushwood/dispatch/IdleLimit.java
@@ -8,7 +8,10 @@
  * connection breaks, the limit falls below the time that it had been idle, and recovers slowly.
  */
 final class IdleLimit {
-  /** The limit is at most the hosts' idle timeout divided by this. */
+  /**
+   * The limit is at most the hosts' idle timeout divided by this, so that a reuse does not race
+   * with the close by the host.
+   */
   private static final int HOST_TIMEOUT_DIVISOR = 2;
 
   /**
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -29,7 +29,7 @@
    *
    * @param connector opens connections to hosts
    * @param logger receives the policy's log messages
-   * @param policyFactory creates the policy, which orders its actions from the given object
+   * @param policyFactory creates the policy from the actions that it can order
    */
   public RequestDispatcher(
       EventLoopClock clock,
--- a/router/src/main/java/rushwood/dispatch/Statement.java
+++ b/router/src/main/java/rushwood/dispatch/Statement.java
@@ -16,7 +16,7 @@
   Request toRequest(long now, long earliestArrival, long latestDeadline);
 
   /**
-   * Returns a new message to a host; the caller releases it.
+   * Returns a new message to a host, which the caller takes ownership of.
    *
    * @param timeoutMillis how long the router waits for the response, which the message tells the
    *     host
--- a/router/src/main/java/rushwood/dispatch/TimerQueue.java
+++ b/router/src/main/java/rushwood/dispatch/TimerQueue.java
@@ -75,7 +75,7 @@
   private final Counters counters;
   private long nextSequence;
   private final DecayingMaximum lateness = new DecayingMaximum(LATENESS_HALF_LIFE_NANOS);
-  private long armedFor = NOT_ARMED;
+  private long armedDueTime = NOT_ARMED;
 
   /** When the armed timer is due; the time at which it was armed if that is later. */
   private long expectedFireTime;
@@ -105,10 +105,10 @@
     while (!tasks.isEmpty() && !tasks.peek().isPending()) {
       tasks.poll();
     }
-    if (!tasks.isEmpty() && tasks.peek().dueAt < armedFor) {
-      armedFor = tasks.peek().dueAt;
-      expectedFireTime = Math.max(armedFor, clock.now());
-      timer.reschedule(Math.max(0, armedFor - clock.now()), this::onTimer);
+    if (!tasks.isEmpty() && tasks.peek().dueAt < armedDueTime) {
+      armedDueTime = tasks.peek().dueAt;
+      expectedFireTime = Math.max(armedDueTime, clock.now());
+      timer.reschedule(Math.max(0, armedDueTime - clock.now()), this::onTimer);
     }
   }
 
@@ -118,18 +118,18 @@
    */
   private void onTimer() {
     long now = clock.now();
-    if (!deferredForReads && now - armedFor > PAUSE_THRESHOLD_NANOS) {
+    if (!deferredForReads && now - armedDueTime > PAUSE_THRESHOLD_NANOS) {
       deferredForReads = true;
       timer.reschedule(0, this::onTimer);
       return;
     }
     deferredForReads = false;
     lateness.record(Math.max(0, now - expectedFireTime), now);
-    armedFor = RUNNING_TASKS;
+    armedDueTime = RUNNING_TASKS;
     try {
       runDueTasks(now);
     } finally {
-      armedFor = NOT_ARMED;
+      armedDueTime = NOT_ARMED;
       armTimer();
     }
   }
--- a/router/src/main/java/rushwood/dispatch/WriteGate.java
+++ b/router/src/main/java/rushwood/dispatch/WriteGate.java
@@ -43,7 +43,10 @@
    */
   private static final long MAX_CLIENT_READ_DELAY_NANOS = 50_000_000L;
 
-  /** Discovery's socket may have gone unread for the drain grace divided by this before a write. */
+  /**
+   * The maximum time that discovery's socket may have gone unread before a write is the drain grace
+   * divided by this.
+   */
   private static final int DRAIN_GRACE_DIVISOR = 4;
 
   private final EventLoopClock clock;
--- a/router/src/test/java/rushwood/dispatch/AttemptTest.java
+++ b/router/src/test/java/rushwood/dispatch/AttemptTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.api.AttemptOutcome;
 
-/** How attempts are written and end, and what the client and the policy are told. */
+/** Tests how attempts are written and end, and what the client and the policy are notified of. */
 class AttemptTest {
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
 
   @Test
-  void successIsSentToTheClientBeforeThePolicyIsTold() {
+  void successIsSentToClientBeforePolicyIsNotified() {
     DispatcherFixture.FakeConnection connection = fixture.receiveRequestAndConnect();
     assertEquals(List.of("d=100"), connection.sent);
     fixture.loop.advanceTo(20);
@@ -23,28 +23,28 @@
     fixture.expectRecorded("result", "0 SUCCESS answered after 20", "released");
     fixture.loop.advanceTo(30);
     fixture.receiveRequestAndConnect();
-    assertEquals(1, fixture.connections.size(), "the connection is used again");
+    assertEquals(1, fixture.connections.size(), "the connection is reused");
     assertEquals(1, fixture.counters.get(Counter.CONNECTIONS_REUSED));
     connection.respond(AttemptOutcome.SUCCESS);
   }
 
-  /** Only a statement that was never written whole is sure not to have run. */
+  /** A statement that was written completely may have run; one written in part cannot have. */
   @Test
-  void lostConnectionTellsWhetherTheStatementWasWritten() {
+  void outcomeOfLostConnectionDependsOnWhetherStatementWasWritten() {
     fixture.onAttemptFinished = () -> fixture.actions.fail(REQUEST);
     fixture.receiveRequest();
     fixture.connections.get(0).listener.connectionLost(false);
     fixture.expectRecorded("0 CONNECT_FAILED after 0", "released", "failure");
-    DispatcherFixture.FakeConnection halfWritten = fixture.receiveRequestAndConnect();
-    halfWritten.written = false;
-    halfWritten.listener.connectionLost(true);
+    DispatcherFixture.FakeConnection partlyWritten = fixture.receiveRequestAndConnect();
+    partlyWritten.written = false;
+    partlyWritten.listener.connectionLost(true);
     fixture.expectRecorded("0 NOT_SENT after 0", "released", "failure");
     fixture.receiveRequestAndConnect().listener.connectionLost(true);
     fixture.expectRecorded("0 CONNECTION_LOST after 0", "released", "failure");
   }
 
   @Test
-  void attemptIsNotSentIfItsConnectionDoesNotComeUp() {
+  void attemptIsNotSentIfConnectionIsNotEstablishedInTime() {
     fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 7 * NANOS_PER_MILLI);
     fixture.loop.setTimeNanos(0);
     fixture.receiveRequest();
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void timeoutClosesTheConnection() {
+  void timeoutClosesConnection() {
     fixture.onAttemptFinished = () -> fixture.actions.fail(REQUEST);
     DispatcherFixture.FakeConnection connection = fixture.receiveRequestAndConnect();
     fixture.loop.advanceTo(100);
@@ -66,9 +66,9 @@
     fixture.expectRecorded("0 TIMED_OUT after 100", "released", "failure");
   }
 
-  /** Cancelling an attempt twice, and a second final response, change nothing. */
+  /** A second cancellation of an attempt and a second final response have no effect. */
   @Test
-  void cancelClosesTheConnection() {
+  void cancelClosesConnection() {
     DispatcherFixture.FakeConnection connection = fixture.receiveRequestAndConnect();
     fixture.actions.cancel(REQUEST, 0);
     fixture.actions.cancel(REQUEST, 0);
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void responseAfterDisconnectReachesThePolicyOnly() {
+  void responseAfterDisconnectIsReportedToPolicyOnly() {
     DispatcherFixture.FakeConnection connection = fixture.receiveRequestAndConnect();
     fixture.dispatcher.clientDisconnected(REQUEST);
     fixture.dispatcher.clientDisconnected(REQUEST);
@@ -90,9 +90,9 @@
     fixture.expectRecorded("0 SUCCESS answered after 30", "released");
   }
 
-  /** Nothing is written after a disconnect, whether or not hosts can be told to stop. */
+  /** No statement is written after its client disconnected. */
   @Test
-  void attemptIsWithheldIfTheClientDisconnectsWhileItsConnectionComesUp() {
+  void attemptIsWithheldIfClientDisconnectsWhileConnecting() {
     fixture.receiveRequest();
     fixture.dispatcher.clientDisconnected(REQUEST);
     fixture.expectRecorded("disconnected x", "released", "0 NOT_SENT answered after 0");
@@ -101,9 +101,9 @@
     assertEquals(1, fixture.counters.get(Counter.ATTEMPTS_WITHHELD));
   }
 
-  /** A retry under an idempotency key may be written within the key's window only. */
+  /** A retry under an idempotency key must not be written after the end of the key's window. */
   @Test
-  void attemptIsWithheldIfItsStartWindowEndsWhileItsConnectionComesUp() {
+  void attemptIsWithheldIfStartWindowEndsWhileConnecting() {
     fixture.onAttemptFinished = () -> fixture.actions.fail(REQUEST);
     fixture.startWithinNanos = 40 * NANOS_PER_MILLI;
     fixture.receiveRequest();
@@ -113,7 +113,7 @@
     assertEquals(List.of(), fixture.connections.get(0).sent);
     fixture.loop.advanceTo(60);
     fixture.receiveRequest();
-    assertEquals(1, fixture.connections.size(), "the next request uses the connection");
+    assertEquals(1, fixture.connections.size(), "the next request reuses the connection");
     assertEquals(List.of("d=100"), fixture.connections.get(0).sent);
     fixture.connections.get(0).respond(AttemptOutcome.SUCCESS);
   }
--- a/router/src/test/java/rushwood/dispatch/ConnectionPoolTest.java
+++ b/router/src/test/java/rushwood/dispatch/ConnectionPoolTest.java
@@ -13,12 +13,12 @@
 import rushwood.api.Endpoint;
 import rushwood.api.HostId;
 
-/** When connections to hosts are opened, reused and closed. */
+/** Tests when connections to hosts are opened, reused and closed. */
 class ConnectionPoolTest {
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
 
   @Test
-  void oldestIdleConnectionIsClosedAtTheLimit() {
+  void longestIdleConnectionIsClosedAtDescriptorLimit() {
     fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 0);
     fixture.actions.checkHealth(HOST);
     fixture.actions.checkHealth(HOST);
@@ -31,12 +31,13 @@
     fixture.updateEndpoints(endpoint("b", 2, Endpoint.State.READY));
     fixture.recorded.clear();
     fixture.actions.checkHealth(new HostId("b"));
-    assertEquals(3, fixture.connections.size(), "an idle connection makes room");
+    assertEquals(
+        3, fixture.connections.size(), "an idle connection is closed to free its descriptor");
     assertFalse(fixture.connections.get(0).open);
   }
 
   @Test
-  void idleConnectionIsClosedWellBeforeTheHostDoes() {
+  void idleConnectionIsClosedBeforeHostTimeout() {
     DispatcherFixture.FakeConnection connection = fixture.serveRequest();
     fixture.loop.advanceTo(14_000);
     assertTrue(connection.open);
@@ -44,9 +45,9 @@
     assertFalse(connection.open);
   }
 
-  /** Excess data behind a response has to be seen before the connection is used again. */
+  /** The reuse delay leaves time to detect excess data that follows a response. */
   @Test
-  void connectionIsNotReusedAtOnce() {
+  void connectionIsNotReusedWithinReuseDelay() {
     fixture.serveRequest();
     fixture.serveRequest();
     assertEquals(2, fixture.connections.size());
@@ -55,9 +56,9 @@
     assertEquals(2, fixture.connections.size());
   }
 
-  /** For a while, connections are not reused that were idle for as long as one that broke. */
+  /** After a reused connection broke, only connections idle for a shorter time are reused. */
   @Test
-  void brokenReuseLowersTheIdleLimit() {
+  void failedReuseLowersIdleLimit() {
     fixture.onAttemptFinished = () -> fixture.actions.fail(REQUEST);
     fixture.serveRequest();
     fixture.loop.advanceTo(400);
@@ -65,14 +66,14 @@
     fixture.serveRequest();
     fixture.loop.advanceTo(550);
     fixture.serveRequest();
-    assertEquals(2, fixture.connections.size(), "150 ms are still safe");
+    assertEquals(2, fixture.connections.size(), "150 ms is below the idle limit");
     fixture.loop.advanceTo(800);
     fixture.serveRequest();
-    assertEquals(3, fixture.connections.size(), "250 ms are not");
+    assertEquals(3, fixture.connections.size(), "250 ms is above the idle limit");
   }
 
   @Test
-  void connectionToAnOldAddressIsClosed() {
+  void connectionToFormerAddressIsClosed() {
     DispatcherFixture.FakeConnection idle = fixture.serveRequest();
     fixture.loop.advanceTo(10);
     DispatcherFixture.FakeConnection busy = fixture.receiveRequestAndConnect();
--- a/router/src/test/java/rushwood/dispatch/CountersTest.java
+++ b/router/src/test/java/rushwood/dispatch/CountersTest.java
@@ -18,14 +18,14 @@
   private final Counters counters = new Counters();
 
   @Test
-  void violatedInvariantIsAsserted() {
+  void violatedInvariantThrowsWithAssertionsEnabled() {
     assertThrows(AssertionError.class, () -> counters.checkInvariant(false, "on purpose"));
     assertTrue(counters.checkInvariant(true, ""));
   }
 
   @ParameterizedTest
   @EnumSource
-  void eachOutcomeHasACounterOfItsName(AttemptOutcome outcome) {
+  void eachOutcomeHasCounterOfSameName(AttemptOutcome outcome) {
     assertEquals("ATTEMPTS_" + outcome, Counter.forAttemptOutcome(outcome).name());
   }
 
--- a/router/src/test/java/rushwood/dispatch/DecayingMaximumTest.java
+++ b/router/src/test/java/rushwood/dispatch/DecayingMaximumTest.java
@@ -8,12 +8,12 @@
   private final DecayingMaximum maximum = new DecayingMaximum(10);
 
   @Test
-  void isZeroBeforeAnythingIsRecorded() {
+  void isZeroWithoutRecordedValues() {
     assertEquals(0, maximum.at(100));
   }
 
   @Test
-  void halvesInEveryHalfLife() {
+  void halvesWithEachHalfLife() {
     maximum.record(800, 100);
     assertEquals(800, maximum.at(100));
     assertEquals(400, maximum.at(110));
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void smallerValueReplacesWhatHasDecayedBelowIt() {
+  void valueReplacesMaximumDecayedBelowIt() {
     maximum.record(800, 0);
     maximum.record(300, 10);
     assertEquals(400, maximum.at(10));
--- a/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
+++ b/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
@@ -28,9 +28,10 @@
 import rushwood.protocol.TestMessages;
 
 /**
- * A dispatcher with connections, a clock and a policy that the test plays. The endpoint list holds
- * one ready host, {@link #HOST}. The policy starts an attempt there for each request; what it is
- * told, and what the client is sent, is recorded as lines of text.
+ * Sets up a dispatcher with fake connections, a fake event loop and a recording policy. The
+ * endpoint list contains one ready host, {@link #HOST}. The policy starts an attempt on it for each
+ * request. Events delivered to the policy and responses to the client are recorded as lines of
+ * text.
  */
 final class DispatcherFixture implements BeforeEachCallback, AfterEachCallback {
   static final HostId HOST = new HostId("a");
@@ -38,7 +39,9 @@
 
   private static final long ATTEMPT_TIMEOUT_NANOS = 100 * NANOS_PER_MILLI;
   private static final long REQUEST_TIMEOUT_NANOS = 400 * NANOS_PER_MILLI;
-  private static final int MAX_DESCRIPTORS = 5; // two of them for connections to hosts
+
+  /** Of these, the descriptor budget allows two for connections to hosts. */
+  private static final int MAX_DESCRIPTORS = 5;
 
   final FakeEventLoop loop = new FakeEventLoop();
   final EventLoopClock clock = loop.clock;
@@ -52,18 +55,18 @@
   /** Run by the policy when an attempt has finished. */
   Runnable onAttemptFinished = () -> {};
 
-  /** Within which time the policy's attempts may be written. */
+  /** The time within which the policy's attempts may be written. */
   long startWithinNanos = ATTEMPT_TIMEOUT_NANOS;
 
-  /** The deadline of the request that the policy was told of last. */
+  /** The deadline of the request that the policy received last. */
   long requestDeadline;
 
-  /** A connection to a host, as the dispatcher sees it. */
+  /** A fake connection to a host, which the test controls. */
   static final class FakeConnection implements BackendConnection {
     final Listener listener;
 
     /**
-     * What was sent: "health check", or "d=" and the milliseconds that a statement gives the host.
+     * The messages sent: "health check", or "d=" and the timeout of a statement in milliseconds.
      */
     final List<String> sent = new ArrayList<>();
 
@@ -95,7 +98,7 @@
       open = false;
     }
 
-    /** The host answers, and the connection can be used again. */
+    /** Simulates a response of the host after which the connection is reusable. */
     void respond(AttemptOutcome outcome) {
       ByteBuf row = outcome == AttemptOutcome.SUCCESS ? TestMessages.buffer(new byte[] {1}) : null;
       listener.responseReceived(
@@ -167,7 +170,7 @@
     }
   }
 
-  /** A statement whose message to a host is as long as the milliseconds that it gives the host. */
+  /** A statement whose message to a host has as many bytes as its timeout has milliseconds. */
   private final class FakeStatement implements Statement {
     @Override
     public Request toRequest(long now, long earliestArrival, long latestDeadline) {
@@ -236,12 +239,14 @@
     scheduleTurns();
   }
 
-  /** Turns come while nothing happens, as they do in a router: else idleness would be a pause. */
+  /**
+   * Schedules turns at the interval used by a router, so that idleness is not taken for a pause.
+   */
   private void scheduleTurns() {
     timers.schedule(clock.now() + EventLoopClock.MAX_TURN_INTERVAL_NANOS, this::scheduleTurns);
   }
 
-  /** Checks that buffers were released and invariants held. */
+  /** Checks that all buffers were released and no invariant was violated. */
   @Override
   public void afterEach(ExtensionContext test) {
     TestMessages.assertAllReleased();
@@ -254,7 +259,7 @@
         new InetSocketAddress("127.0.0.1", port));
   }
 
-  /** {@link #HOST} in the given state. */
+  /** Returns {@link #HOST} in the given state. */
   static EndpointAddress host(Endpoint.State state) {
     return endpoint("a", 1, state);
   }
@@ -267,12 +272,15 @@
     dispatcher.endpointsUpdated(List.of(updates), List.of());
   }
 
-  /** A client sends {@link #REQUEST}. */
+  /** Simulates a client that sends {@link #REQUEST}. */
   void receiveRequest() {
     dispatcher.requestReceived(new FakeStatement(), new FakeResponder());
   }
 
-  /** A client sends {@link #REQUEST}; its connection comes up, if it is a new one. */
+  /**
+   * Simulates a client that sends {@link #REQUEST}. If a connection is opened for it, the
+   * connection is established.
+   */
   FakeConnection receiveRequestAndConnect() {
     receiveRequest();
     FakeConnection connection = latestConnection();
@@ -282,7 +290,7 @@
     return connection;
   }
 
-  /** A client sends {@link #REQUEST}, and a host answers it with a row. */
+  /** Simulates a client that sends {@link #REQUEST} and a host that answers with a row. */
   FakeConnection serveRequest() {
     FakeConnection connection = receiveRequestAndConnect();
     connection.respond(AttemptOutcome.SUCCESS);
@@ -293,7 +301,7 @@
     return connections.get(connections.size() - 1);
   }
 
-  /** Compares with what was recorded since the last call. */
+  /** Asserts which lines were recorded since the last call. */
   void expectRecorded(String... lines) {
     assertEquals(List.of(lines), recorded);
     recorded.clear();
--- a/router/src/test/java/rushwood/dispatch/EndpointUpdateTest.java
+++ b/router/src/test/java/rushwood/dispatch/EndpointUpdateTest.java
@@ -13,7 +13,7 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.Endpoint;
 
-/** What changes to the endpoint list do to connections and to attempts that are not written. */
+/** Tests the effects of endpoint list changes on connections and unwritten exchanges. */
 class EndpointUpdateTest {
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
 
@@ -24,9 +24,9 @@
     assertFalse(connection.open);
   }
 
-  /** Nothing of the exchanges is written, and the policy hears of them to choose anew. */
+  /** No statement is written, and the results are reported to the policy. */
   @Test
-  void exchangesAreWithheldIfTheirHostLeavesWhileTheirConnectionComesUp() {
+  void exchangesAreWithheldIfHostDrainsOrIsRemovedWhileConnecting() {
     for (Endpoint.State state : List.of(Endpoint.State.DRAINING, Endpoint.State.REMOVED)) {
       fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 0);
       fixture.replaceEndpoints(host(Endpoint.State.READY));
@@ -45,9 +45,9 @@
     assertEquals(4, fixture.counters.get(Counter.ATTEMPTS_WITHHELD));
   }
 
-  /** A list that does not name the host, and one with a partial entry for it, say the same. */
+  /** Covers a list without the host and a list with a partial entry that says it is draining. */
   @Test
-  void wholeListTellsThatHostLeaves() {
+  void exchangeIsWithheldIfCompleteListRemovesOrDrainsHost() {
     fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 0);
     PartialEndpoint draining = new PartialEndpoint(HOST, Endpoint.State.DRAINING);
     for (List<PartialEndpoint> partials : List.of(List.<PartialEndpoint>of(), List.of(draining))) {
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void hostOfWhichOnlyTheIdCanBeReadStaysAsItIs() {
+  void hostWithUnreadableStateKeepsItsState() {
     fixture.replaceEndpoints(host(Endpoint.State.DRAINING));
     fixture.replaceEndpoints(host(Endpoint.State.READY));
     fixture.dispatcher.endpointsReplaced(
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void removedHostIsStillUsedWhereRemovalDoesNotBind() {
+  void removedHostIsStillUsedIfRemovalIsNotBinding() {
     fixture.start(false);
     fixture.replaceEndpoints(host(Endpoint.State.READY));
     fixture.updateEndpoints(host(Endpoint.State.REMOVED));
@@ -87,9 +87,9 @@
     fixture.expectRecorded("result", "0 SUCCESS answered after 0", "released");
   }
 
-  /** Of hundreds of hosts that come and go the present ones are kept; an id may come back. */
+  /** Removed hosts must not accumulate; a removed host may be listed again. */
   @Test
-  void removedHostsAreForgotten() {
+  void removedHostsAreDeleted() {
     DispatcherFixture.FakeConnection connection = fixture.receiveRequestAndConnect();
     for (int i = 0; i < 300; i++) {
       fixture.updateEndpoints(endpoint("h" + i, i + 1, Endpoint.State.READY));
@@ -98,14 +98,14 @@
     assertEquals(1, fixture.dispatcher.endpointCount());
     fixture.updateEndpoints(host(Endpoint.State.REMOVED));
     connection.respond(AttemptOutcome.SUCCESS);
-    assertFalse(connection.open, "a forgotten host's connection is not kept");
+    assertFalse(connection.open, "the connection of a removed host is closed");
     fixture.replaceEndpoints(host(Endpoint.State.READY));
     fixture.serveRequest();
     assertEquals(2, fixture.connections.size());
   }
 
   @Test
-  void removalOfAnUnknownHostIsLeftOut() {
+  void removalOfUnknownHostIsIgnored() {
     fixture.updateEndpoints(endpoint("z", 1, Endpoint.State.REMOVED));
     fixture.expectRecorded("updated 0");
   }
--- a/router/src/test/java/rushwood/dispatch/EventLoopClockTest.java
+++ b/router/src/test/java/rushwood/dispatch/EventLoopClockTest.java
@@ -8,7 +8,7 @@
   private final FakeEventLoop loop = new FakeEventLoop();
 
   @Test
-  void timeStandsStillWithinATurnAndNeverGoesBack() {
+  void timeIsConstantWithinTurnAndNeverGoesBack() {
     loop.setTimeNanos(5);
     assertEquals(5, loop.clock.now());
     loop.setTimeNanos(9);
--- a/router/src/test/java/rushwood/dispatch/FakeEventLoop.java
+++ b/router/src/test/java/rushwood/dispatch/FakeEventLoop.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An event loop whose turns, time and timer a test drives. */
+/** An event loop whose turns, time and timer are controlled by a test. */
 public final class FakeEventLoop {
   public static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -23,7 +23,7 @@
     timerDelayNanos = delayNanos;
   }
 
-  /** The delay with which the timer was last set. */
+  /** Returns the delay with which the timer was last set. */
   long timerDelayNanos() {
     return timerDelayNanos;
   }
@@ -32,17 +32,17 @@
     return time / NANOS_PER_MILLI;
   }
 
-  /** Sets the time without a turn of the loop: the current turn has lasted until then. */
+  /** Sets the time without ending the current turn, which has lasted until then. */
   void setTimeNanos(long nanos) {
     time = nanos;
   }
 
-  /** Lets the current turn last that much longer. */
+  /** Extends the current turn by the given time. */
   void stall(long millis) {
     time += millis * NANOS_PER_MILLI;
   }
 
-  /** Takes a turn now, and lets the time until the next one pass without any. */
+  /** Runs a turn now, and advances the time without running another one. */
   void pause(long millis) {
     clock.now();
     endTurn();
@@ -54,19 +54,19 @@
     turnEnds.clear();
   }
 
-  /** Runs one turn at that time, in which the timer fires. */
+  /** Runs one turn at the given time, in which the timer fires. */
   void fireTimerAt(long millis) {
     endTurn();
     time = millis * NANOS_PER_MILLI;
     runTimerTask();
   }
 
-  /** Runs the turns in which the timer fires until then. */
+  /** Advances to the given time and runs the turns in which the timer fires until then. */
   void advanceTo(long millis) {
     long until = millis * NANOS_PER_MILLI;
     endTurn();
     while (timerTask != null && timerDueAt <= until) {
-      time = Math.max(time, timerDueAt); // a pause may have passed it
+      time = Math.max(time, timerDueAt); // after a pause the timer may be overdue
       runTimerTask();
       endTurn();
     }
--- a/router/src/test/java/rushwood/dispatch/IdleLimitTest.java
+++ b/router/src/test/java/rushwood/dispatch/IdleLimitTest.java
@@ -13,20 +13,20 @@
   }
 
   @Test
-  void limitStartsAtHalfOfTheHostsTimeout() {
+  void limitStartsAtHalfOfHostTimeout() {
     assertEquals(15_000, limitMillis());
   }
 
   @Test
-  void failedReuseLowersTheLimitToHalfOfTheIdleTime() {
+  void failedReuseLowersLimitToHalfOfIdleTime() {
     limit.reuseFailed(400 * NANOS_PER_MILLI);
     assertEquals(200, limitMillis());
     limit.reuseFailed(800 * NANOS_PER_MILLI);
-    assertEquals(200, limitMillis(), "a failure after a longer time does not raise it");
+    assertEquals(200, limitMillis(), "a failure after a longer idle time does not raise the limit");
   }
 
   @Test
-  void limitNeverFallsBelowItsMinimum() {
+  void limitNeverFallsBelowMinimum() {
     limit.reuseFailed(150 * NANOS_PER_MILLI);
     assertEquals(100, limitMillis());
     limit.reuseFailed(50 * NANOS_PER_MILLI);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void limitRecoversByAQuarterUpToItsStart() {
+  void limitRecoversByQuarterUpToMaximum() {
     limit.reuseFailed(400 * NANOS_PER_MILLI);
     limit.recover();
     assertEquals(250, limitMillis());
--- a/router/src/test/java/rushwood/dispatch/PolicyEventTest.java
+++ b/router/src/test/java/rushwood/dispatch/PolicyEventTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.api.AttemptOutcome;
 
-/** Health checks, timers and failures of the policy. */
+/** Tests health checks, timers and exceptions of the policy. */
 class PolicyEventTest {
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
 
@@ -24,9 +24,9 @@
     assertFalse(fixture.connections.get(0).open);
   }
 
-  /** An exception ends one call or one task alone; the request in question is answered. */
+  /** An exception ends only one policy call or task, and the request concerned is answered. */
   @Test
-  void exceptionEndsOneCallOnly() {
+  void exceptionEndsOnlyOneCall() {
     fixture.onAttemptFinished =
         () -> {
           throw new IllegalStateException("on purpose");
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void newTimerReplacesTheLast() {
+  void newTimerReplacesPreviousOne() {
     fixture.actions.wakeAt(50 * NANOS_PER_MILLI);
     fixture.actions.wakeAt(20 * NANOS_PER_MILLI);
     fixture.loop.advanceTo(60);
--- a/router/src/test/java/rushwood/dispatch/ProcessPauseTest.java
+++ b/router/src/test/java/rushwood/dispatch/ProcessPauseTest.java
@@ -10,9 +10,9 @@
 import rushwood.api.Endpoint;
 
 /**
- * After a pause of the process of more than a quarter of the drain grace a turn of the event loop
- * may read clients before discovery. Attempts that are started then are written a turn later,
- * unless their host has left meanwhile.
+ * Tests that no statement is written to a draining host after a long pause of the process. A turn
+ * of the event loop after the pause may read clients before discovery, so attempts started in it
+ * are written a turn later, unless their host is draining by then.
  */
 class ProcessPauseTest {
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
@@ -20,14 +20,14 @@
   private static final long PAUSE_MILLIS = 600;
 
   @Test
-  void attemptAfterPauseIsWrittenOnceTheEndpointListWasRead() {
+  void attemptAfterPauseIsWrittenAfterEndpointListIsRead() {
     fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 0);
     fixture.serveRequest();
     fixture.loop.advanceTo(100);
     fixture.loop.pause(PAUSE_MILLIS);
     fixture.recorded.clear();
     fixture.receiveRequest();
-    assertEquals(1, fixture.connections.get(0).sent.size(), "not yet");
+    assertEquals(1, fixture.connections.get(0).sent.size(), "not written yet");
     fixture.updateEndpoints(host(Endpoint.State.DRAINING));
     fixture.expectRecorded("updated 1", "0 NOT_SENT after 0", "released", "rejection 0");
     fixture.replaceEndpoints(host(Endpoint.State.READY));
@@ -36,16 +36,16 @@
     fixture.loop.advanceBy(100);
     fixture.loop.pause(PAUSE_MILLIS);
     fixture.receiveRequest();
-    assertEquals(1, fixture.connections.get(1).sent.size(), "not yet");
+    assertEquals(1, fixture.connections.get(1).sent.size(), "not written yet");
     fixture.loop.advanceBy(2);
-    assertEquals(2, fixture.connections.get(1).sent.size(), "its host is still there");
+    assertEquals(2, fixture.connections.get(1).sent.size(), "the host is still ready");
     fixture.connections.get(1).respond(AttemptOutcome.SUCCESS);
     assertEquals(2, fixture.counters.get(Counter.ATTEMPTS_DEFERRED));
   }
 
-  /** The first turn after a pause may read no socket: then the second is the first that does. */
+  /** The first turn after a pause may read no sockets, so the second may be the first to read. */
   @Test
-  void attemptInTheSecondTurnAfterPauseIsDeferred() {
+  void attemptInSecondTurnAfterPauseIsDeferred() {
     fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 0);
     fixture.serveRequest();
     fixture.loop.advanceTo(100);
@@ -53,12 +53,12 @@
     fixture.loop.pause(10);
     fixture.recorded.clear();
     fixture.receiveRequest();
-    assertEquals(1, fixture.connections.get(0).sent.size(), "not yet");
+    assertEquals(1, fixture.connections.get(0).sent.size(), "not written yet");
     fixture.updateEndpoints(host(Endpoint.State.DRAINING));
     fixture.expectRecorded("updated 1", "0 NOT_SENT after 0", "released", "rejection 0");
   }
 
-  /** As with a garbage collection, or a burst of requests, within the turn. */
+  /** A turn may be long because of a garbage collection or a burst of requests. */
   @Test
   void attemptInLongTurnIsDeferred() {
     fixture.onAttemptFinished = () -> fixture.actions.reject(REQUEST, 0);
@@ -67,12 +67,11 @@
     fixture.clock.now();
     fixture.loop.stall(PAUSE_MILLIS);
     fixture.receiveRequest();
-    assertEquals(1, fixture.connections.get(0).sent.size(), "not yet");
+    assertEquals(1, fixture.connections.get(0).sent.size(), "not written yet");
     fixture.actions.cancel(REQUEST, 0);
     fixture.loop.advanceBy(10);
-    assertEquals(
-        1, fixture.connections.get(0).sent.size(), "it was cancelled before it was written");
+    assertEquals(1, fixture.connections.get(0).sent.size(), "a cancelled attempt is not written");
     fixture.serveRequest();
-    assertEquals(1, fixture.connections.size(), "its connection is idle again");
+    assertEquals(1, fixture.connections.size(), "the connection is reused");
   }
 }
--- a/router/src/test/java/rushwood/dispatch/RequestDeadlineTest.java
+++ b/router/src/test/java/rushwood/dispatch/RequestDeadlineTest.java
@@ -6,36 +6,39 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** From when a request's deadline counts, and what bounds it. */
+/** Tests the time from which the timeout of a request counts, and the bound at shutdown. */
 class RequestDeadlineTest {
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
 
-  /** What arrives during a pause is left unread until its end, so the pause counts as waiting. */
+  /**
+   * Input that arrives during a pause is not read before its end, so the pause counts as waiting.
+   */
   @Test
-  void deadlineCountsFromTheStartOfPause() {
+  void deadlineCountsFromStartOfPause() {
     fixture.loop.advanceTo(1000);
     fixture.clock.now();
-    assertEquals(1430 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1030), "idleness is no pause");
+    assertEquals(
+        1430 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1030), "a gap of 30 ms is not a pause");
     assertEquals(1430 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1330));
     assertEquals(
         1430 * NANOS_PER_MILLI,
         deadlineOfRequestReadAt(1335),
-        "its connection was accepted only after the pause");
+        "the request may have waited in a connection that was accepted after the pause");
     assertEquals(1760 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1360));
   }
 
-  /** What arrives while a turn is at work is read in the next one. */
+  /** Input that arrives during a turn is read in the next turn. */
   @Test
-  void deadlineCountsFromTheStartOfABusyTurn() {
+  void deadlineCountsFromStartOfBusyTurn() {
     fixture.loop.advanceTo(1000);
     fixture.clock.now();
     fixture.loop.stall(30);
     assertEquals(1400 * NANOS_PER_MILLI, deadlineOfRequestReadAt(1031));
   }
 
-  /** While the loop waits, input is read as it comes. */
+  /** While the event loop waits, input is read as soon as it arrives. */
   @Test
-  void deadlineCountsFromNowAfterAWait() {
+  void deadlineCountsFromCurrentTimeAfterIdleLoop() {
     fixture.loop.advanceTo(1000);
     fixture.clock.now();
     fixture.loop.stall(3);
@@ -48,7 +51,7 @@
     assertEquals(300 * NANOS_PER_MILLI, deadlineOfRequestReadAt(100));
   }
 
-  /** The deadline of a request that is read in a new turn at that time. */
+  /** Returns the deadline of a request that is read in a new turn at the given time. */
   private long deadlineOfRequestReadAt(long millis) {
     fixture.loop.endTurn();
     fixture.loop.setTimeNanos(millis * NANOS_PER_MILLI);
--- a/router/src/test/java/rushwood/dispatch/TimerQueueTest.java
+++ b/router/src/test/java/rushwood/dispatch/TimerQueueTest.java
@@ -16,21 +16,22 @@
   }
 
   @Test
-  void tasksRunInTheOrderOfDueTimeThenOfScheduling() {
+  void tasksRunInOrderOfDueTimeThenOfScheduling() {
     schedule(30, "c");
     schedule(10, "a");
     schedule(10, "b");
     schedule(20, "cancelled").cancel();
     loop.fireTimerAt(10);
     assertEquals(List.of("a", "b"), done);
-    assertEquals(20 * NANOS_PER_MILLI, loop.timerDelayNanos(), "a cancelled task sets no timer");
+    assertEquals(
+        20 * NANOS_PER_MILLI, loop.timerDelayNanos(), "the timer is not set for a cancelled task");
     loop.fireTimerAt(30);
     assertEquals(List.of("a", "b", "c"), done);
   }
 
-  /** A response that arrived during a pause is read before its timeout runs. */
+  /** A response that arrived during a pause must be read before its timeout runs. */
   @Test
-  void tasksRunOneTurnLaterAfterAPause() {
+  void tasksRunOneTurnLaterAfterPause() {
     TimerQueue.ScheduledTask timeout = schedule(10, "timeout");
     schedule(10, "other");
     loop.fireTimerAt(500);
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void remembersItsLongestLatenessWithAHalfLifeOfASecond() {
+  void maximumLatenessDecaysWithHalfLifeOfOneSecond() {
     schedule(10, "in time");
     loop.fireTimerAt(10);
     assertEquals(0, loop.timers.recentLatenessNanos());
@@ -55,9 +56,9 @@
     assertEquals(200 * NANOS_PER_MILLI, loop.timers.recentLatenessNanos());
   }
 
-  /** A task may be scheduled for a time that is past: then it is due at once, and not late. */
+  /** A task scheduled for a time in the past is due at once, and its lateness counts from then. */
   @Test
-  void taskForThePastIsNotLate() {
+  void taskScheduledInThePastIsNotLate() {
     loop.advanceTo(500);
     schedule(10, "due at once");
     loop.fireTimerAt(501);
@@ -67,17 +68,17 @@
   }
 
   @Test
-  void failingTaskStopsNoOther() {
+  void failingTaskDoesNotStopOthers() {
     loop.timers.schedule(
         10 * NANOS_PER_MILLI,
         () -> {
           throw new IllegalStateException("on purpose");
         });
-    schedule(10, "beside");
+    schedule(10, "same time");
     schedule(11, "next");
     loop.fireTimerAt(10);
     loop.fireTimerAt(11);
-    assertEquals(List.of("beside", "next"), done);
+    assertEquals(List.of("same time", "next"), done);
     assertEquals(1, loop.counters.get(Counter.EXCEPTIONS_CAUGHT));
   }
 }
--- a/router/src/test/java/rushwood/dispatch/WriteGateTest.java
+++ b/router/src/test/java/rushwood/dispatch/WriteGateTest.java
@@ -11,7 +11,7 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.HostId;
 
-/** The cases of the gate; that it is asked when it has to be is tested through the dispatcher. */
+/** Tests the decisions of the gate. Other tests cover through the dispatcher when it is called. */
 class WriteGateTest {
   private static final HostId HOST = new HostId("a");
   private static final long DRAIN_GRACE_NANOS = 2_000 * NANOS_PER_MILLI;
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void withholdsWhatStartsAtADrainingHost() {
+  void withholdsExchangesStartedOnDrainingHost() {
     assertEquals(WriteGate.Decision.WRITE, gate.decideAtStart(endpoint));
     endpoint.startDraining();
     assertEquals(WriteGate.Decision.WITHHOLD, gate.decideAtStart(endpoint));
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void withholdsFromTheWriteDeadlineOn() {
+  void withholdsExchangesFromWriteDeadlineOn() {
     Exchange exchange = exchangeToWriteBefore(30);
     loop.advanceTo(29);
     assertEquals(WriteGate.Decision.WRITE, gate.decideWhenReady(exchange));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void defersOnceAfterAPauseOverFiftyMilliseconds() {
+  void defersOnceAfterPauseLongerThanFiftyMillis() {
     Exchange exchange = exchangeToWriteBefore(1_000);
     loop.pause(50);
     assertEquals(WriteGate.Decision.WRITE, gate.decideWhenReady(exchange));
@@ -74,19 +74,20 @@
     assertEquals(WriteGate.Decision.WRITE, gate.decideAfterDeferral(exchange));
   }
 
-  /** Under 40 ms a gap between two turns is no pause. */
+  /** A gap between two turns of up to 40 ms is not a pause, whatever the drain grace. */
   @Test
-  void defersAfterAPauseOverAQuarterOfAShortDrainGrace() {
-    WriteGate strict = new WriteGate(loop.clock, loop.timers, loop.counters, 180 * NANOS_PER_MILLI);
+  void defersAfterPauseLongerThanQuarterOfShortDrainGrace() {
+    WriteGate gateOfShortGrace =
+        new WriteGate(loop.clock, loop.timers, loop.counters, 180 * NANOS_PER_MILLI);
     Exchange exchange = exchangeToWriteBefore(1_000);
     loop.pause(45);
-    assertEquals(WriteGate.Decision.WRITE, strict.decideWhenReady(exchange));
+    assertEquals(WriteGate.Decision.WRITE, gateOfShortGrace.decideWhenReady(exchange));
     loop.pause(46);
-    assertEquals(WriteGate.Decision.DEFER, strict.decideWhenReady(exchange));
+    assertEquals(WriteGate.Decision.DEFER, gateOfShortGrace.decideWhenReady(exchange));
   }
 
   @Test
-  void countsWhatItWithholdsAndDefers() {
+  void countsWithheldAndDeferredExchanges() {
     List<String> written = new ArrayList<>();
     loop.clock.now();
     gate.defer(() -> written.add("deferred"));
