--- a/router/src/main/java/rushwood/dispatch/BackendConnection.java
+++ b/router/src/main/java/rushwood/dispatch/BackendConnection.java
@@ -28,8 +28,8 @@
     BackendConnection connect(InetSocketAddress address, Listener listener);
 
     /**
-     * Returns a new health check message, which a host answers with a load report; the caller
-     * releases it.
+     * Returns a new health check message, which a host answers with a load report. The caller takes
+     * ownership of it.
      */
     ByteBuf healthCheckStatement();
   }
--- a/router/src/test/java/rushwood/dispatch/AttemptTest.java
+++ b/router/src/test/java/rushwood/dispatch/AttemptTest.java
@@ -90,7 +90,10 @@
     fixture.expectRecorded("0 SUCCESS answered after 30", "released");
   }
 
-  /** No statement is written after its client disconnected. */
+  /**
+   * No statement is written after its client disconnected, whether or not hosts can cancel a
+   * running statement.
+   */
   @Test
   void attemptIsWithheldIfClientDisconnectsWhileConnecting() {
     fixture.receiveRequest();
--- a/router/src/test/java/rushwood/dispatch/ConnectionPoolTest.java
+++ b/router/src/test/java/rushwood/dispatch/ConnectionPoolTest.java
@@ -56,7 +56,10 @@
     assertEquals(2, fixture.connections.size());
   }
 
-  /** After a reused connection broke, only connections idle for a shorter time are reused. */
+  /**
+   * For some time after a reused connection broke, only connections that were idle for a shorter
+   * time are reused.
+   */
   @Test
   void failedReuseLowersIdleLimit() {
     fixture.onAttemptFinished = () -> fixture.actions.fail(REQUEST);
--- a/router/src/test/java/rushwood/dispatch/WriteGateTest.java
+++ b/router/src/test/java/rushwood/dispatch/WriteGateTest.java
@@ -11,7 +11,10 @@
 import rushwood.api.AttemptOutcome;
 import rushwood.api.HostId;
 
-/** Tests the decisions of the gate. Other tests cover through the dispatcher when it is called. */
+/**
+ * Tests the decisions of the gate. Whether it is called at the right times is tested through the
+ * dispatcher.
+ */
 class WriteGateTest {
   private static final HostId HOST = new HostId("a");
   private static final long DRAIN_GRACE_NANOS = 2_000 * NANOS_PER_MILLI;
