--- a/router/src/test/java/rushwood/dispatch/FakeEventLoop.java
+++ b/router/src/test/java/rushwood/dispatch/FakeEventLoop.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An event loop whose turns, time and timer a test drives. */
+/** An event loop whose turns, time and timer are controlled by a test. */
 public final class FakeEventLoop {
   public static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final List<Runnable> turnEnds = new ArrayList<>();
   private long time;
   private Runnable timerTask;
-  private long timerAt;
-  private long timerDelay;
+  private long timerDueAt;
+  private long timerDelayNanos;
 
   public final Counters counters = new Counters();
   public final EventLoopClock clock = new EventLoopClock(() -> time, turnEnds::add);
@@ -19,30 +19,30 @@
 
   private void setTimer(long delayNanos, Runnable task) {
     timerTask = task;
-    timerAt = time + delayNanos;
-    timerDelay = delayNanos;
+    timerDueAt = time + delayNanos;
+    timerDelayNanos = delayNanos;
   }
 
-  /** The delay with which the timer was last set. */
+  /** Returns the delay with which the timer was last set. */
   long timerDelayNanos() {
-    return timerDelay;
+    return timerDelayNanos;
   }
 
   long timeMillis() {
     return time / NANOS_PER_MILLI;
   }
 
-  /** Sets the time without a turn of the loop: the current turn has lasted until then. */
+  /** Sets the time without ending the current turn, which has lasted until then. */
   void setTimeNanos(long nanos) {
     time = nanos;
   }
 
-  /** Lets the current turn last that much longer. */
+  /** Extends the current turn by the given time. */
   void stall(long millis) {
     time += millis * NANOS_PER_MILLI;
   }
 
-  /** Takes a turn now, and lets the time until the next one pass without any. */
+  /** Runs a turn now, and advances the time without running another one. */
   void pause(long millis) {
     clock.now();
     endTurn();
@@ -54,19 +54,19 @@
     turnEnds.clear();
   }
 
-  /** Runs one turn at that time, in which the timer fires. */
+  /** Runs one turn at the given time, in which the timer fires. */
   void fireTimerAt(long millis) {
     endTurn();
     time = millis * NANOS_PER_MILLI;
     runTimerTask();
   }
 
-  /** Runs the turns in which the timer fires until then. */
+  /** Advances to the given time and runs the turns in which the timer fires until then. */
   void advanceTo(long millis) {
     long until = millis * NANOS_PER_MILLI;
     endTurn();
-    while (timerTask != null && timerAt <= until) {
-      time = Math.max(time, timerAt); // a pause may have passed it
+    while (timerTask != null && timerDueAt <= until) {
+      time = Math.max(time, timerDueAt); // after a pause the timer may be overdue
       runTimerTask();
       endTurn();
     }
