--- a/router/src/main/java/rushwood/net/FrontendConnection.java
+++ b/router/src/main/java/rushwood/net/FrontendConnection.java
@@ -216,7 +216,7 @@
   private void cancelPendingRequest() {
     if (protocol.hasPendingRequest()) {
       submitter.clientDisconnected();
-      protocol.answerCancelled();
+      protocol.sendCancelled();
     }
   }
 
--- a/router/src/main/java/rushwood/protocol/FrontendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/FrontendProtocol.java
@@ -197,7 +197,7 @@
   }
 
   /** The pending request was cancelled by a CancelRequest; its client still expects an answer. */
-  public void answerCancelled() {
+  public void sendCancelled() {
     answerError(ClientErrors.REQUEST_CANCELLED);
   }
 
