--- a/router/src/main/java/rushwood/protocol/BackendMessageType.java
+++ b/router/src/main/java/rushwood/protocol/BackendMessageType.java
@@ -1,6 +1,8 @@
 package rushwood.protocol;
 
-/** Type bytes of the messages that servers send: hosts to the router, and the router to clients. */
+/**
+ * Type bytes of the messages that a server sends: a host to the router, and the router to a client.
+ */
 public final class BackendMessageType {
   public static final char AUTHENTICATION = 'R';
   public static final char BACKEND_KEY_DATA = 'K';
--- a/router/src/main/java/rushwood/protocol/BackendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/BackendProtocol.java
@@ -8,12 +8,13 @@
 import rushwood.dispatch.BackendResponse;
 
 /**
- * The client's side of PostgreSQL's protocol 3 on a connection to a host: simple queries, one
- * statement at a time, whose responses are passed to a {@link BackendConnection.Listener}.
+ * The client side of version 3 of PostgreSQL's protocol on a connection to a host. Supports simple
+ * queries, one statement at a time, and reports each response to a {@link
+ * BackendConnection.Listener}.
  *
- * <p>A response is reported at the end of the read in which it became complete, by {@link
- * #completeRead}. Anything that follows it in the same read belongs to no statement and would be
- * taken for the response to the next one, so the connection is not used again.
+ * <p>A response is reported by {@link #completeRead}, at the end of the read that completed it.
+ * Data that follows the response in the same read belongs to no statement and would be mistaken for
+ * the response to the next one, so the connection is not reused.
  */
 public final class BackendProtocol {
   private enum State {
@@ -33,29 +34,39 @@
   private State state = State.STARTUP;
   private boolean isMalformed;
 
-  /** Creates the protocol of a connection that has just been opened. */
+  /**
+   * Creates the protocol of a newly opened connection.
+   *
+   * @param listener notified of the startup, of responses and of the end of the connection
+   */
   public BackendProtocol(ByteBufAllocator allocator, BackendConnection.Listener listener) {
     this.listener = listener;
-    reader = new MessageReader(allocator, MessageLimits::ofHost);
+    reader = new MessageReader(allocator, MessageLimits::maxHostMessageBytes);
     response = new ResponseAssembler(allocator);
   }
 
   /**
-   * Call before a statement is written; only if the connection {@link #isUsable}.
+   * Prepares for the response to a statement that is about to be written. Requires {@link
+   * #isUsable}.
    *
-   * @param isHealthCheck whether the response is a load report
+   * @param isHealthCheck whether the row of the response is a load report
    */
   public void beginStatement(boolean isHealthCheck) {
     state = State.AWAITING_RESPONSE;
     response.begin(isHealthCheck);
   }
 
-  /** Whether the next statement may be sent. */
+  /** Returns whether the next statement may be sent. */
   public boolean isUsable() {
     return state == State.IDLE && reader.unreadBytes() == 0;
   }
 
-  /** Processes input; takes the buffer over. Returns false if the connection has to be closed. */
+  /**
+   * Processes input and takes ownership of the buffer.
+   *
+   * @return false if the connection must be closed because the host refused it or violated the
+   *     protocol
+   */
   public boolean feed(ByteBuf in) {
     reader.feed(in);
     try {
@@ -75,8 +86,9 @@
   }
 
   /**
-   * Call when all that has arrived was fed: reports a complete response. Returns false if the
-   * connection has to be closed, as data followed the response.
+   * Reports the response if it is complete. Called at the end of each read, after {@link #feed}.
+   *
+   * @return false if the connection must be closed because data followed the response
    */
   public boolean completeRead() {
     if (state != State.RESPONSE_COMPLETE) {
@@ -98,9 +110,9 @@
       case BackendMessageType.ROW_DESCRIPTION,
           BackendMessageType.DATA_ROW,
           BackendMessageType.COMMAND_COMPLETE ->
-          handleRowPart(type, message);
+          handleRowMessage(type, message);
       case BackendMessageType.READY_FOR_QUERY -> handleReadyForQuery(message);
-      default -> throw ProtocolException.protocolViolation("a message of unexpected type");
+      default -> throw ProtocolException.protocolViolation("unexpected message type");
     }
   }
 
@@ -108,22 +120,22 @@
     if (state != State.STARTUP
         || message.readableBytes() != Integer.BYTES
         || message.readInt() != AUTHENTICATION_OK) {
-      throw ProtocolException.protocolViolation("an unexpected authentication message");
+      throw ProtocolException.protocolViolation("unexpected authentication message");
     }
   }
 
-  private void handleRowPart(char type, ByteBuf message) throws ProtocolException {
+  private void handleRowMessage(char type, ByteBuf message) throws ProtocolException {
     if (state != State.AWAITING_RESPONSE) {
-      throw ProtocolException.protocolViolation("a part of a row out of order");
+      throw ProtocolException.protocolViolation("row message without a pending statement");
     }
-    response.addRowPart(type, message);
+    response.addRowMessage(type, message);
   }
 
   private void handleParameterStatus(ByteBuf message) throws ProtocolException {
     String name = CString.read(message);
     String value = CString.read(message);
     if (message.isReadable()) {
-      throw ProtocolException.protocolViolation("a parameter that does not end");
+      throw ProtocolException.protocolViolation("ParameterStatus with trailing bytes");
     }
     if (state == State.AWAITING_RESPONSE) {
       response.addParameter(name, value);
@@ -142,13 +154,13 @@
     } else if (state == State.AWAITING_RESPONSE && !response.hasOutcome()) {
       response.addError(sqlState);
     } else {
-      throw ProtocolException.protocolViolation("an error that answers nothing");
+      throw ProtocolException.protocolViolation("unexpected ErrorResponse");
     }
   }
 
   private void handleReadyForQuery(ByteBuf message) throws ProtocolException {
     if (message.readableBytes() != 1 || message.readByte() != TRANSACTION_STATUS_IDLE) {
-      throw ProtocolException.protocolViolation("ReadyForQuery where none is expected");
+      throw ProtocolException.protocolViolation("malformed ReadyForQuery or open transaction");
     }
     if (state == State.STARTUP) {
       state = State.IDLE;
@@ -156,13 +168,15 @@
     } else if (state == State.AWAITING_RESPONSE && response.hasOutcome()) {
       state = State.RESPONSE_COMPLETE;
     } else {
-      throw ProtocolException.protocolViolation("ready without an answer");
+      throw ProtocolException.protocolViolation("ReadyForQuery without a complete response");
     }
   }
 
   /**
-   * The connection was closed, or {@link #feed} or {@link #completeRead} said that it has to be. A
-   * row or an error that is complete still counts, though ReadyForQuery is missing.
+   * Handles the end of the connection: it was closed, or {@link #feed} or {@link #completeRead}
+   * returned false. A complete row or error is still reported as the response, even if
+   * ReadyForQuery has not arrived. Otherwise a response that violates the protocol is reported as
+   * {@link AttemptOutcome#MALFORMED}, and any other end as a lost connection.
    *
    * @param accepted whether the host had accepted the connection
    */
@@ -182,7 +196,7 @@
     }
   }
 
-  /** The router closes the connection; the listener hears nothing more. */
+  /** Releases all buffers when the router closes the connection; the listener is not notified. */
   public void close() {
     state = State.CLOSED;
     reader.close();
--- a/router/src/main/java/rushwood/protocol/CString.java
+++ b/router/src/main/java/rushwood/protocol/CString.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Strings that end with a zero byte, as the protocol's messages hold them. */
+/** Reads the null-terminated strings of protocol messages. */
 final class CString {
   private CString() {}
 
   /**
-   * Reads a string and its zero byte.
+   * Reads a UTF-8 string and its terminator.
    *
-   * @throws ProtocolException that is fatal, if there is no zero byte
+   * @throws ProtocolException (fatal) if the message contains no terminator
    */
   static String read(ByteBuf message) throws ProtocolException {
     int start = message.readerIndex();
--- a/router/src/main/java/rushwood/protocol/ErrorResponseParser.java
+++ b/router/src/main/java/rushwood/protocol/ErrorResponseParser.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.regex.Pattern;
 
-/** Parses the ErrorResponse of a host. */
+/** Parses ErrorResponse messages from hosts. */
 final class ErrorResponseParser {
   private static final char SQL_STATE_FIELD = 'C';
   private static final Pattern SQL_STATE = Pattern.compile("[0-9A-Z]{5}");
@@ -11,11 +11,11 @@
   private ErrorResponseParser() {}
 
   /**
-   * Parses the SQLSTATE of an error.
+   * Returns the SQLSTATE of an error. The SQLSTATE can prove that the statement was not executed,
+   * so a message that is malformed in any part is not accepted.
    *
-   * @param message its reader index at the body
-   * @throws ProtocolException that is fatal, if the message is malformed: an error can prove that
-   *     the statement never ran, so a doubtful one must not count
+   * @param message a message whose reader index is at the body
+   * @throws ProtocolException (fatal) if the message is malformed
    */
   static String parseSqlState(ByteBuf message) throws ProtocolException {
     String sqlState = "";
@@ -25,7 +25,7 @@
       sqlState = field == SQL_STATE_FIELD ? value : sqlState;
     }
     if (field != 0 || message.isReadable() || !SQL_STATE.matcher(sqlState).matches()) {
-      throw ProtocolException.protocolViolation("an error that cannot be read");
+      throw ProtocolException.protocolViolation("malformed ErrorResponse");
     }
     return sqlState;
   }
--- a/router/src/main/java/rushwood/protocol/FrontendCallbacks.java
+++ b/router/src/main/java/rushwood/protocol/FrontendCallbacks.java
@@ -4,44 +4,46 @@
 import rushwood.dispatch.ClientResponder;
 
 /**
- * What {@link FrontendProtocol} needs of its connection and of the router. Called on the event loop
- * of the connection, from within calls to the protocol.
+ * The operations that {@link FrontendProtocol} needs from its connection and from the router. All
+ * methods are called on the event loop of the connection, from within calls to the protocol.
  */
 public interface FrontendCallbacks {
-  /** Whether requests can be served, as an empty query asks. */
+  /** Returns whether the router can serve requests; clients check this with an empty query. */
   boolean isReady();
 
   /**
-   * Starts a request; its answer comes through the methods of {@link ClientResponder}.
+   * Submits a request. The response is sent through the methods of {@link ClientResponder},
+   * possibly before this call returns.
    *
-   * @param text the statement; valid during the call unless retained
+   * @param text the statement, which is valid during the call unless it is retained
+   * @throws ProtocolException if the statement is rejected; nothing was submitted
    */
   void submit(ByteBuf text) throws ProtocolException;
 
-  /** Writes each counter as a DataRow; returns the number of rows. */
+  /** Writes each counter as a DataRow message and returns the number of rows. */
   int writeCounters(ByteBuf out);
 
-  /** The client sent something that is not accepted; called before it is told so. */
+  /** Called when input of the client is not accepted, before the error is written. */
   void statementRejected(ProtocolException cause);
 
-  /** Sends to the client; takes the buffer over. */
+  /** Sends the bytes to the client and takes ownership of the buffer. */
   void write(ByteBuf out);
 
-  /** The answer that is written next tells the client when to try again. */
+  /** Called before a rejection that contains a Retry-After is written. */
   void retryAfterAnnounced();
 
-  /** The key by which a request on another connection can cancel the request of this one. */
+  /** Returns the key with which a CancelRequest on another connection identifies this one. */
   long cancelKey();
 
-  /** The client asks to cancel the request of the connection that has this key, if there is one. */
+  /** Cancels the pending request of the connection that has this key, if there is any. */
   void cancelRequest(long key);
 
-  /** The client ended the session while its request was pending. */
+  /** Called when the client ends the session while its request is pending. */
   void clientTerminated();
 
-  /** Closes the connection once everything is written. */
+  /** Closes the connection after all output has been written. */
   void close();
 
-  /** Calls {@link FrontendProtocol#resume} in a later turn of the event loop. */
+  /** Schedules a call of {@link FrontendProtocol#resume} in a later turn of the event loop. */
   void resumeLater();
 }
--- a/router/src/main/java/rushwood/protocol/FrontendMessageType.java
+++ b/router/src/main/java/rushwood/protocol/FrontendMessageType.java
@@ -1,21 +1,21 @@
 package rushwood.protocol;
 
-/** Type bytes of the messages that clients send. */
+/** Type bytes of the messages that a client sends. */
 final class FrontendMessageType {
   static final char QUERY = 'Q';
   static final char TERMINATE = 'X';
   static final char SYNC = 'S';
   static final char FLUSH = 'H';
 
-  private static final String EXTENDED_QUERY_TYPES = "PBDECFHdcf";
+  private static final String UNSUPPORTED_TYPES = "PBDECFHdcf";
 
   private FrontendMessageType() {}
 
   /**
-   * Whether the type belongs to the extended query protocol, a function call or COPY: known, but
-   * not served.
+   * Returns whether the type belongs to the extended query protocol, a function call or COPY, which
+   * are recognized but not supported.
    */
   static boolean isUnsupported(int type) {
-    return EXTENDED_QUERY_TYPES.indexOf(type) >= 0;
+    return UNSUPPORTED_TYPES.indexOf(type) >= 0;
   }
 }
--- a/router/src/main/java/rushwood/protocol/FrontendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/FrontendProtocol.java
@@ -8,20 +8,23 @@
 import rushwood.dispatch.ClientResponder;
 
 /**
- * The server's side of PostgreSQL's protocol 3 on the connection of a client: simple queries only,
- * one request at a time. As at a database, what a client sends behind a request stays unread until
- * that request is answered. An answer that comes when no request is pending is dropped. Used on the
- * event loop of the connection only.
+ * The server side of version 3 of PostgreSQL's protocol on the connection of a client. Supports
+ * simple queries, one request at a time.
+ *
+ * <p>As in a PostgreSQL server, input that follows a request stays buffered until the response to
+ * that request is sent. A response for which no request is pending is dropped.
+ *
+ * <p>Must be used only on the event loop of the connection.
  */
 public final class FrontendProtocol implements ClientResponder {
   private enum State {
     STARTUP,
     IDLE,
-    /** A request was read, and is to be submitted unless a Terminate message stands behind it. */
+    /** A request was read. It is submitted unless a Terminate message follows it in the input. */
     REQUEST_READ,
-    /** A request was submitted and waits for its answer. */
+    /** A request was submitted, and its response has not been sent. */
     REQUEST_PENDING,
-    /** After a message of the extended query protocol: all is skipped up to the Sync behind it. */
+    /** An unsupported message was read. Input is skipped up to the next Sync or Terminate. */
     SKIPPING_TO_SYNC,
     CLOSED;
 
@@ -36,36 +39,37 @@
   private final StartupHandshake handshake;
   private final LocalStatements localStatements;
   private State state = State.STARTUP;
-  private @Nullable ByteBuf statement; // of the request in state REQUEST_READ
+  private @Nullable ByteBuf statement; // set in state REQUEST_READ
   private boolean isDraining;
 
-  /** Creates the protocol of a connection on which nothing has been read. */
+  /** Creates the protocol of a newly accepted connection. */
   public FrontendProtocol(ByteBufAllocator allocator, FrontendCallbacks callbacks) {
     this.allocator = allocator;
     this.callbacks = callbacks;
-    reader = new MessageReader(allocator, MessageLimits::ofClient);
+    reader = new MessageReader(allocator, MessageLimits::maxClientMessageBytes);
     handshake = new StartupHandshake(callbacks);
     localStatements = new LocalStatements(callbacks);
   }
 
-  /** Keeps input for {@link #resume}; takes the buffer over. */
+  /** Buffers input until {@link #resume} is called. Takes ownership of the buffer. */
   public void buffer(ByteBuf in) {
     reader.feed(in);
   }
 
-  /** Keeps input and processes it; takes the buffer over. */
+  /** Buffers and processes input. Takes ownership of the buffer. */
   public void feed(ByteBuf in) {
     buffer(in);
     resume();
   }
 
   /**
-   * Processes buffered input up to the first request that has to wait for its answer. A Terminate
-   * message behind that request ends the connection at once: its client waits for no answer.
+   * Processes buffered input up to the first request whose response is not sent immediately. A
+   * Terminate message behind that request ends the connection at once, without a response, because
+   * the client no longer waits for one.
    */
   public void resume() {
     writeOrRelease(readMessages());
-    if (hasPendingRequest() && reader.hasMessageAhead(FrontendMessageType.TERMINATE)) {
+    if (hasPendingRequest() && reader.hasUnreadMessage(FrontendMessageType.TERMINATE)) {
       dropRequest();
     } else if (state == State.REQUEST_READ) {
       submitRequest();
@@ -83,18 +87,18 @@
   }
 
   private void submitRequest() {
-    ByteBuf text = Objects.requireNonNull(statement, "comes with the state REQUEST_READ");
+    ByteBuf text = Objects.requireNonNull(statement, "no statement in state REQUEST_READ");
     statement = null;
-    state = State.REQUEST_PENDING; // first: the answer may come within the call
+    state = State.REQUEST_PENDING; // set first: the response may be sent within submit
     try {
       callbacks.submit(text);
     } catch (ProtocolException rejection) {
       callbacks.statementRejected(rejection);
-      answerError(ErrorResponse.of(rejection));
+      sendError(ErrorResponse.of(rejection));
     }
   }
 
-  /** Reads messages up to a request or the end of input; returns what is to be written. */
+  /** Reads messages up to a request or the end of input, and returns the output for them. */
   private ByteBuf readMessages() {
     ByteBuf out = allocator.buffer(256);
     try {
@@ -118,7 +122,7 @@
     }
   }
 
-  /** Returns whether a whole message was read. */
+  /** Reads a message of the startup phase. Returns whether a complete message was available. */
   private boolean readStartupMessage(ByteBuf out) throws ProtocolException {
     ByteBuf message = reader.nextStartupMessage();
     if (message == null) {
@@ -133,7 +137,7 @@
     return true;
   }
 
-  /** Returns whether a whole message was read. */
+  /** Reads a message of a session. Returns whether a complete message was available. */
   private boolean readMessage(ByteBuf out) throws ProtocolException {
     ByteBuf message = reader.nextMessage();
     if (message == null) {
@@ -164,7 +168,7 @@
             SqlState.PROTOCOL_VIOLATION, "the query does not end with its zero");
       }
       ByteBuf text = message.slice(message.readerIndex(), end - message.readerIndex());
-      if (!localStatements.answer(text, out)) {
+      if (!localStatements.answerIfLocal(text, out)) {
         statement = text;
         state = State.REQUEST_READ;
       }
@@ -179,7 +183,7 @@
   public void sendResult(ByteBuf row) {
     ByteBuf ready = allocator.buffer(6);
     MessageWriter.writeReadyForQuery(ready);
-    answer(Unpooled.wrappedBuffer(row, ready));
+    sendResponse(Unpooled.wrappedBuffer(row, ready));
   }
 
   @Override
@@ -188,27 +192,27 @@
     if (rejection.hasRetryAfter()) {
       callbacks.retryAfterAnnounced();
     }
-    answerError(rejection);
+    sendError(rejection);
   }
 
   @Override
   public void sendFailure() {
-    answerError(ClientErrors.REQUEST_FAILED);
+    sendError(ClientErrors.REQUEST_FAILED);
   }
 
-  /** The pending request was cancelled by a CancelRequest; its client still expects an answer. */
+  /** Sends the response to a pending request that was cancelled by a CancelRequest message. */
   public void sendCancelled() {
-    answerError(ClientErrors.REQUEST_CANCELLED);
+    sendError(ClientErrors.REQUEST_CANCELLED);
   }
 
-  private void answerError(ErrorResponse error) {
+  private void sendError(ErrorResponse error) {
     ByteBuf out = allocator.buffer(128);
     MessageWriter.writeErrorResponse(out, error);
     MessageWriter.writeReadyForQuery(out);
-    answer(out);
+    sendResponse(out);
   }
 
-  private void answer(ByteBuf out) {
+  private void sendResponse(ByteBuf out) {
     if (state != State.REQUEST_PENDING) {
       out.release();
       return;
@@ -218,16 +222,23 @@
     if (reader.unreadBytes() > 0) {
       callbacks.resumeLater();
     } else if (isDraining) {
-      closeIfDone(); // in the turn of the answer: a turn later the client may have sent a request
+      // In this turn: by the next one the client may have sent another request.
+      closeIfDone();
     }
   }
 
-  /** Whether the connection has no request, and no part of a message was read. */
+  /**
+   * Returns whether the connection can be closed without losing input: it is open, no request is
+   * pending, no extended query is being skipped and no input is unread.
+   */
   public boolean isIdle() {
     return (state == State.IDLE || state == State.STARTUP) && reader.unreadBytes() == 0;
   }
 
-  /** Whether the client's turn is not over: its startup message or the rest of a message is due. */
+  /**
+   * Returns whether the router waits for more input to complete a message: the startup message, or
+   * a message of which a part has arrived.
+   */
   public boolean hasIncompleteMessage() {
     return switch (state) {
       case STARTUP -> true;
@@ -236,22 +247,22 @@
     };
   }
 
-  /** Whether the startup message has not been answered. */
+  /** Returns whether the connection is still in the startup phase. */
   public boolean isStartingUp() {
     return state == State.STARTUP;
   }
 
-  /** Buffered bytes: those behind a pending request, or of an incomplete message. */
+  /** Returns the number of buffered bytes behind a pending request or of an incomplete message. */
   public int unreadBytes() {
     return reader.unreadBytes();
   }
 
-  /** Whether a request was read and waits for its answer. */
+  /** Returns whether a request was read whose response has not been sent. */
   public boolean hasPendingRequest() {
     return state == State.REQUEST_READ || state == State.REQUEST_PENDING;
   }
 
-  /** Closes the connection as soon as it {@link #isIdle}, now or later. */
+  /** Closes the connection as soon as it {@link #isIdle}, which may be now. */
   public void drain() {
     isDraining = true;
     if (isIdle()) {
@@ -259,7 +270,7 @@
     }
   }
 
-  /** Sends a fatal error, whatever the state, and closes the connection. */
+  /** Sends an error in any state and closes the connection. */
   public void closeWithError(ErrorResponse error) {
     ByteBuf out = allocator.buffer(128);
     MessageWriter.writeErrorResponse(out, error);
@@ -268,7 +279,7 @@
     closeIfDone();
   }
 
-  /** The connection is closed: drops what was read. */
+  /** Releases all buffered input after the connection was closed. */
   public void connectionClosed() {
     state = State.CLOSED;
     reader.close();
--- a/router/src/main/java/rushwood/protocol/LoadReportParser.java
+++ b/router/src/main/java/rushwood/protocol/LoadReportParser.java
@@ -4,7 +4,7 @@
 import rushwood.api.HostRole;
 import rushwood.api.LoadReport;
 
-/** Parses what hosts report of themselves; what cannot be parsed counts as not reported. */
+/** Parses positions and load reports of hosts. A malformed value counts as not reported. */
 final class LoadReportParser {
   private static final String POSITION_FIELD = "x0"; // Unix time in seconds
   private static final String PRIMARY_FIELD = "x1"; // 1 on the primary
@@ -15,9 +15,10 @@
   private LoadReportParser() {}
 
   /**
-   * Parses a replication position, a Unix time in milliseconds.
+   * Parses a replication position, given as Unix time in milliseconds.
    *
-   * @return the position in nanoseconds, or {@link AttemptResult#NO_POSITION}
+   * @return the position as Unix time in nanoseconds, or {@link AttemptResult#NO_POSITION} if the
+   *     text is not a positive number in range
    */
   static long parsePosition(String text) {
     try {
@@ -30,8 +31,10 @@
   }
 
   /**
-   * Parses a list of {@code name=number} pairs, separated by commas. If one pair cannot be parsed
-   * the whole report is dropped, as the other values may not be what they seem.
+   * Parses a comma-separated list of {@code name=number} pairs; unknown names are ignored. If any
+   * pair is malformed the other values cannot be trusted either.
+   *
+   * @return the report, or {@link LoadReport#NONE} if any pair is malformed
    */
   static LoadReport parse(String text) {
     double position = Double.NaN;
@@ -51,7 +54,7 @@
     return new LoadReport(position, role);
   }
 
-  /** Returns NaN for what is no finite number. */
+  /** Returns the number, or NaN if the text is not a finite number. */
   private static double parseFinite(String text) {
     try {
       double value = Double.parseDouble(text.strip());
--- a/router/src/main/java/rushwood/protocol/LocalStatements.java
+++ b/router/src/main/java/rushwood/protocol/LocalStatements.java
@@ -5,14 +5,14 @@
 import java.util.Locale;
 
 /**
- * The statements that the router answers itself, without a host: {@code SHOW counters}, and the
- * empty statement, which asks whether the router is ready.
+ * Answers the statements that the router handles itself, without a host: {@code SHOW counters}, and
+ * the empty statement, with which clients check whether the router is ready.
  */
 final class LocalStatements {
   private static final String SHOW_COUNTERS = "SHOW COUNTERS";
 
-  /** With a semicolon and a space. */
-  private static final int MAX_LENGTH = SHOW_COUNTERS.length() + 2;
+  /** Longer statements are not local; leaves room for a semicolon and a space. */
+  private static final int MAX_STATEMENT_BYTES = SHOW_COUNTERS.length() + 2;
 
   private final FrontendCallbacks callbacks;
 
@@ -21,14 +21,13 @@
   }
 
   /**
-   * Writes the answer, up to ReadyForQuery, if this is such a statement.
+   * Writes the response, including ReadyForQuery, if the statement is local.
    *
-   * @return whether it is one
-   * @throws ProtocolException that is not fatal, if the statement is empty and the router is not
-   *     ready
+   * @return whether the statement is local
+   * @throws ProtocolException (not fatal) if the statement is empty and the router is not ready
    */
-  boolean answer(ByteBuf text, ByteBuf out) throws ProtocolException {
-    if (text.readableBytes() > MAX_LENGTH) {
+  boolean answerIfLocal(ByteBuf text, ByteBuf out) throws ProtocolException {
+    if (text.readableBytes() > MAX_STATEMENT_BYTES) {
       return false;
     }
     switch (normalize(text)) {
--- a/router/src/main/java/rushwood/protocol/MessageLimits.java
+++ b/router/src/main/java/rushwood/protocol/MessageLimits.java
@@ -1,59 +1,61 @@
 package rushwood.protocol;
 
 /**
- * The most that the length field of a message may say, in bytes and by the type of the message; 0
- * for a type that is not accepted. Tight limits show malformed data at the head of a message,
- * instead of only when its rest does not arrive.
+ * Upper limits for the length field of messages, by message type. The length field counts itself
+ * but not the type byte. Tight limits detect malformed data when the header of a message has
+ * arrived, rather than by a timeout when the rest never arrives.
  */
 final class MessageLimits {
-  /** Stands for a message without a type: the first one of a client. */
+  /** Stands for the type of messages without a type byte, which clients send at startup. */
   static final int STARTUP_TYPE = 0;
 
-  /** PostgreSQL's own limit. */
-  private static final int MAX_CLIENT_STARTUP_LENGTH = 10_000;
+  /** The limit of PostgreSQL itself. */
+  private static final int MAX_CLIENT_STARTUP_BYTES = 10_000;
 
-  /** A value of 64 KiB takes 128 KiB in hexadecimal; as much again is spare. */
-  private static final int MAX_QUERY_LENGTH = 256 << 10;
+  /** A value of 64 KiB takes 128 KiB in hexadecimal; the limit leaves as much again. */
+  private static final int MAX_QUERY_BYTES = 256 << 10;
 
-  private static final int EMPTY_BODY_LENGTH = 4;
+  private static final int EMPTY_MESSAGE_BYTES = 4;
 
-  /** Far above the rows that hosts send, well below what memory holds. */
-  private static final int MAX_ROW_LENGTH = 1 << 20;
+  /** For DataRow: far above the rows that hosts send, but far below the available memory. */
+  private static final int MAX_DATA_ROW_BYTES = 1 << 20;
 
   /** For RowDescription and CommandComplete. */
-  private static final int MAX_ROW_FRAME_LENGTH = 1 << 10;
+  private static final int MAX_ROW_FRAME_BYTES = 1 << 10;
 
-  /** Far above any error, notice or parameter of a host. */
-  private static final int MAX_TEXT_LENGTH = 8 << 10;
+  /** For ErrorResponse, NoticeResponse and ParameterStatus: far above what hosts send. */
+  private static final int MAX_STATUS_BYTES = 8 << 10;
 
-  private static final int MAX_HOST_STARTUP_LENGTH = 300;
-  private static final int READY_FOR_QUERY_LENGTH = 5;
+  /** For Authentication and BackendKeyData. */
+  private static final int MAX_HOST_STARTUP_BYTES = 300;
+
+  private static final int READY_FOR_QUERY_BYTES = 5;
 
   private MessageLimits() {}
 
-  /** The limit of a message from a client. */
-  static int ofClient(int type) {
+  /** Returns the limit for a message from a client in bytes, 0 if the type is not accepted. */
+  static int maxClientMessageBytes(int type) {
     return switch (type) {
-      case STARTUP_TYPE -> MAX_CLIENT_STARTUP_LENGTH;
-      case FrontendMessageType.TERMINATE, FrontendMessageType.SYNC -> EMPTY_BODY_LENGTH;
-      case FrontendMessageType.QUERY -> MAX_QUERY_LENGTH;
-      default -> FrontendMessageType.isUnsupported(type) ? MAX_QUERY_LENGTH : 0;
+      case STARTUP_TYPE -> MAX_CLIENT_STARTUP_BYTES;
+      case FrontendMessageType.TERMINATE, FrontendMessageType.SYNC -> EMPTY_MESSAGE_BYTES;
+      case FrontendMessageType.QUERY -> MAX_QUERY_BYTES;
+      default -> FrontendMessageType.isUnsupported(type) ? MAX_QUERY_BYTES : 0;
     };
   }
 
-  /** The limit of a message from a host. */
-  static int ofHost(int type) {
+  /** Returns the limit for a message from a host in bytes, 0 if the type is not accepted. */
+  static int maxHostMessageBytes(int type) {
     return switch (type) {
-      case BackendMessageType.READY_FOR_QUERY -> READY_FOR_QUERY_LENGTH;
+      case BackendMessageType.READY_FOR_QUERY -> READY_FOR_QUERY_BYTES;
       case BackendMessageType.AUTHENTICATION, BackendMessageType.BACKEND_KEY_DATA ->
-          MAX_HOST_STARTUP_LENGTH;
+          MAX_HOST_STARTUP_BYTES;
       case BackendMessageType.ROW_DESCRIPTION, BackendMessageType.COMMAND_COMPLETE ->
-          MAX_ROW_FRAME_LENGTH;
+          MAX_ROW_FRAME_BYTES;
       case BackendMessageType.PARAMETER_STATUS,
           BackendMessageType.ERROR_RESPONSE,
           BackendMessageType.NOTICE_RESPONSE ->
-          MAX_TEXT_LENGTH;
-      case BackendMessageType.DATA_ROW -> MAX_ROW_LENGTH;
+          MAX_STATUS_BYTES;
+      case BackendMessageType.DATA_ROW -> MAX_DATA_ROW_BYTES;
       default -> 0;
     };
   }
--- a/router/src/main/java/rushwood/protocol/MessageReader.java
+++ b/router/src/main/java/rushwood/protocol/MessageReader.java
@@ -7,8 +7,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts a stream of bytes into messages. Messages are slices of the buffer in which they arrived and
- * share its reference count; bytes are copied only where a message spans two buffers.
+ * Splits a stream of bytes into messages. A message is a slice of the buffer in which it arrived
+ * and shares its reference count; bytes are copied only if a message spans several buffers.
  */
 public final class MessageReader {
   private static final int TYPE_BYTES = 1;
@@ -16,23 +16,23 @@
   private static final int LENGTH_FIELD_BYTES = 4;
 
   private final ByteBufAllocator allocator;
-  private final IntUnaryOperator maxLengthOfType;
+  private final IntUnaryOperator maxLengthByType;
   private @Nullable ByteBuf buffer;
   private int type;
-  private int scannedBytes; // of the unread bytes, those that hasMessageAhead has passed
+  private int scannedBytes; // leading unread bytes that hasUnreadMessage has scanned
 
   /**
    * Creates a reader without input.
    *
-   * @param maxLengthOfType the most that the length field of a message of that type may say, 0 for
-   *     an unknown type; a startup message is asked for as type 0
+   * @param maxLengthByType returns the maximum of the length field of a message in bytes for a type
+   *     byte, or for 0 if the message has no type byte; returns 0 if the type is unknown
    */
-  public MessageReader(ByteBufAllocator allocator, IntUnaryOperator maxLengthOfType) {
+  public MessageReader(ByteBufAllocator allocator, IntUnaryOperator maxLengthByType) {
     this.allocator = allocator;
-    this.maxLengthOfType = maxLengthOfType;
+    this.maxLengthByType = maxLengthByType;
   }
 
-  /** Appends input; takes the buffer over. */
+  /** Appends input and takes ownership of the buffer. */
   public void feed(ByteBuf in) {
     if (buffer == null) {
       buffer = in;
@@ -42,32 +42,33 @@
   }
 
   /**
-   * The next message as one without a type, as a client's first, once it is complete.
+   * Reads the next message as one without a type byte, as clients send at startup.
    *
-   * @return the body; not retained: valid until the reader is fed, emptied or closed
-   * @throws ProtocolException that is fatal, if its length is not allowed
+   * @return a slice whose reader index is at the body, or null if no complete message is available.
+   *     Not retained: valid until input is fed or the buffer is released.
+   * @throws ProtocolException (fatal) if the length is not allowed
    */
   public @Nullable ByteBuf nextStartupMessage() throws ProtocolException {
-    return cutMessage(NO_TYPE_BYTES);
+    return readMessage(NO_TYPE_BYTES);
   }
 
   /**
-   * The next message, once it is complete. Its type is in {@link #type}.
+   * Reads the next message. Its type is then returned by {@link #type}.
    *
-   * @return a slice of the whole message whose reader index is at the body; not retained: valid
-   *     until the reader is fed, emptied or closed
-   * @throws ProtocolException that is fatal, if its type is unknown or its length not allowed
+   * @return a slice of the whole message, whose reader index is at the body, or null if no complete
+   *     message is available. Not retained: valid until input is fed or the buffer is released.
+   * @throws ProtocolException (fatal) if the type is unknown or the length is not allowed
    */
   public @Nullable ByteBuf nextMessage() throws ProtocolException {
-    return cutMessage(TYPE_BYTES);
+    return readMessage(TYPE_BYTES);
   }
 
-  /** The type of the message that was returned last. */
+  /** Returns the type of the last message that was read. */
   public char type() {
     return (char) type;
   }
 
-  private @Nullable ByteBuf cutMessage(int typeBytes) throws ProtocolException {
+  private @Nullable ByteBuf readMessage(int typeBytes) throws ProtocolException {
     ByteBuf unread = buffer;
     if (unread == null || !unread.isReadable()) {
       return null;
@@ -76,9 +77,9 @@
     int start = unread.readerIndex();
     int nextType =
         typeBytes == NO_TYPE_BYTES ? MessageLimits.STARTUP_TYPE : unread.getUnsignedByte(start);
-    int maxLength = maxLengthOfType.applyAsInt(nextType);
+    int maxLength = maxLengthByType.applyAsInt(nextType);
     if (maxLength < LENGTH_FIELD_BYTES) {
-      // Rejected by its first byte: the length that it claims may never arrive.
+      // Rejected by the first byte, because the rest of the message may never arrive.
       throw ProtocolException.protocolViolation("a message of unknown type");
     }
     if (available < typeBytes + LENGTH_FIELD_BYTES) {
@@ -98,10 +99,10 @@
   }
 
   /**
-   * Whether a message of that type begins among the unread bytes, behind any number of others. Each
-   * message is scanned once, however often this is called.
+   * Returns whether the unread bytes contain the start of a message of this type, behind any number
+   * of complete messages. Repeated calls do not scan the same message twice.
    */
-  public boolean hasMessageAhead(char wantedType) {
+  public boolean hasUnreadMessage(char wantedType) {
     ByteBuf unread = buffer;
     while (unread != null && unread.readableBytes() - scannedBytes > LENGTH_FIELD_BYTES) {
       int offset = unread.readerIndex() + scannedBytes;
@@ -111,7 +112,7 @@
         return true;
       }
       if (length < LENGTH_FIELD_BYTES
-          || length > maxLengthOfType.applyAsInt(foundType)
+          || length > maxLengthByType.applyAsInt(foundType)
           || TYPE_BYTES + length > unread.readableBytes() - scannedBytes) {
         return false;
       }
@@ -120,19 +121,19 @@
     return false;
   }
 
-  /** Bytes that were fed and are not part of a message that was returned. */
+  /** Returns the number of bytes that were fed but are not part of a message that was read. */
   public int unreadBytes() {
     return buffer == null ? 0 : buffer.readableBytes();
   }
 
-  /** Releases the buffer if nothing in it is unread; call it before waiting for more input. */
+  /** Releases the buffer if it has no unread bytes. Called before waiting for more input. */
   public void releaseIfEmpty() {
     if (buffer != null && !buffer.isReadable()) {
       close();
     }
   }
 
-  /** Drops all unread bytes and releases the buffer; input may still be fed. */
+  /** Discards all unread bytes and releases the buffer. The reader can still be fed. */
   public void close() {
     if (buffer != null) {
       buffer.release();
--- a/router/src/main/java/rushwood/protocol/MessageWriter.java
+++ b/router/src/main/java/rushwood/protocol/MessageWriter.java
@@ -6,9 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Composes the messages of PostgreSQL's protocol 3 that the router sends. The {@code write...}
- * methods append to a buffer of the caller; the others return a new buffer that the caller
- * releases.
+ * Encodes the messages of version 3 of PostgreSQL's protocol that the router sends. The {@code
+ * write...} methods append to a buffer; the others return a new buffer that the caller releases.
  */
 public final class MessageWriter {
   /** Protocol 3.0: the major version in the upper 16 bits, the minor version in the lower. */
@@ -19,7 +18,7 @@
 
   private MessageWriter() {}
 
-  /** Returns the index of the length field, for {@link #endMessage} to fill in. */
+  /** Returns the index of the length field, which {@link #endMessage} fills in. */
   private static int beginMessage(ByteBuf out, char type) {
     out.writeByte(type);
     int lengthIndex = out.writerIndex();
@@ -41,12 +40,12 @@
     writeCString(out, value);
   }
 
-  /** The answer to an empty query string. */
+  /** Writes the response to an empty query string. */
   public static void writeEmptyQueryResponse(ByteBuf out) {
     endMessage(out, beginMessage(out, BackendMessageType.EMPTY_QUERY_RESPONSE));
   }
 
-  /** The end of an answer: the next statement may be sent. Transactions are never open. */
+  /** Writes the end of a response, with the status that no transaction is open. */
   public static void writeReadyForQuery(ByteBuf out) {
     int lengthIndex = beginMessage(out, BackendMessageType.READY_FOR_QUERY);
     out.writeByte(TRANSACTION_STATUS_IDLE);
@@ -54,9 +53,10 @@
   }
 
   /**
-   * All messages that answer a startup message, up to ReadyForQuery.
+   * Writes all messages of the response to a startup message, including ReadyForQuery.
    *
-   * @param cancelKey process id and secret key by which a CancelRequest names this connection
+   * @param cancelKey the process ID and the secret key with which a CancelRequest identifies this
+   *     connection
    */
   public static void writeStartupResponse(ByteBuf out, long cancelKey) {
     writeAuthenticationOk(out);
@@ -81,7 +81,7 @@
     endMessage(out, lengthIndex);
   }
 
-  /** A setting or state of the server by its name. */
+  /** Writes the name and value of a server setting or of a status that a host reports. */
   public static void writeParameterStatus(ByteBuf out, String name, String value) {
     int lengthIndex = beginMessage(out, BackendMessageType.PARAMETER_STATUS);
     writeCString(out, name);
@@ -89,7 +89,10 @@
     endMessage(out, lengthIndex);
   }
 
-  /** Answers a startup message with an unsupported minor version: 3.0 is spoken, no options. */
+  /**
+   * Writes the response to a startup message with an unsupported minor version: 3.0 is supported,
+   * and no startup option is reported as unrecognized.
+   */
   public static void writeNegotiateProtocolVersion(ByteBuf out) {
     int lengthIndex = beginMessage(out, BackendMessageType.NEGOTIATE_PROTOCOL_VERSION);
     out.writeInt(0);
@@ -97,7 +100,7 @@
     endMessage(out, lengthIndex);
   }
 
-  /** The error, with the wait in milliseconds as its detail if there is one. */
+  /** Writes an error. The Retry-After in milliseconds, if there is one, is the detail field. */
   public static void writeErrorResponse(ByteBuf out, ErrorResponse error) {
     int lengthIndex = beginMessage(out, BackendMessageType.ERROR_RESPONSE);
     writeErrorField(out, 'S', error.severity().name());
@@ -111,23 +114,23 @@
     endMessage(out, lengthIndex);
   }
 
-  /** Describes rows whose columns are all of type text. */
+  /** Writes the description of rows whose columns are all of type text. */
   public static void writeRowDescription(ByteBuf out, String... columnNames) {
     int lengthIndex = beginMessage(out, BackendMessageType.ROW_DESCRIPTION);
     out.writeShort(columnNames.length);
     for (String name : columnNames) {
       writeCString(out, name);
-      out.writeInt(0); // table
-      out.writeShort(0); // column of the table
+      out.writeInt(0); // OID of the table: none
+      out.writeShort(0); // number of the column in the table: none
       out.writeInt(TEXT_TYPE_OID);
-      out.writeShort(-1); // size: variable
+      out.writeShort(-1); // size of the type: variable
       out.writeInt(-1); // type modifier: none
       out.writeShort(0); // format: text
     }
     endMessage(out, lengthIndex);
   }
 
-  /** One row, its values as text. */
+  /** Writes a row of text values. */
   public static void writeDataRow(ByteBuf out, String... values) {
     int lengthIndex = beginMessage(out, BackendMessageType.DATA_ROW);
     out.writeShort(values.length);
@@ -138,14 +141,14 @@
     endMessage(out, lengthIndex);
   }
 
-  /** The end of a result; the tag names the command and the number of rows. */
+  /** Writes the end of a result; the tag contains the command and the number of rows. */
   public static void writeCommandComplete(ByteBuf out, String tag) {
     int lengthIndex = beginMessage(out, BackendMessageType.COMMAND_COMPLETE);
     writeCString(out, tag);
     endMessage(out, lengthIndex);
   }
 
-  /** The first message on a connection to a host. */
+  /** Returns the first message on a connection to a host. */
   public static ByteBuf startupMessage(ByteBufAllocator allocator) {
     ByteBuf out = allocator.buffer(64);
     out.writeInt(0).writeInt(PROTOCOL_VERSION);
@@ -157,7 +160,7 @@
     return out.setInt(0, out.writerIndex());
   }
 
-  /** A Query message with this statement. */
+  /** Returns a Query message with this statement. */
   public static ByteBuf queryMessage(ByteBufAllocator allocator, String statement) {
     ByteBuf out = allocator.buffer(statement.length() + 6);
     int lengthIndex = beginMessage(out, FrontendMessageType.QUERY);
--- a/router/src/main/java/rushwood/protocol/ProtocolException.java
+++ b/router/src/main/java/rushwood/protocol/ProtocolException.java
@@ -1,8 +1,9 @@
 package rushwood.protocol;
 
 /**
- * A peer sent something that is not accepted. {@link #reason} and {@link #sqlState} are sent to it
- * if it is a client. Carries no stack trace: it is thrown for input, not for faults of the program.
+ * Thrown when input of a client or host is not accepted. A client is sent {@link #reason} and
+ * {@link #sqlState}. Has no stack trace, because the cause is the input and not a fault of the
+ * program.
  */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -18,32 +19,34 @@
     this.isFatal = isFatal;
   }
 
-  /** A message that is well formed and not accepted; the connection can go on. */
+  /** Returns an exception for a message that is rejected; the connection stays usable. */
   public static ProtocolException rejected(String sqlState, String reason) {
     return new ProtocolException(sqlState, reason, false);
   }
 
-  /** Input after which the connection cannot go on. */
+  /** Returns an exception for input after which the connection must be closed. */
   public static ProtocolException fatal(String sqlState, String reason) {
     return new ProtocolException(sqlState, reason, true);
   }
 
-  /** Malformed input: where the next message begins is not known. */
+  /**
+   * Returns a fatal exception for malformed input, after which the next message cannot be found.
+   */
   public static ProtocolException protocolViolation(String reason) {
     return fatal(SqlState.PROTOCOL_VIOLATION, reason);
   }
 
-  /** The SQLSTATE that tells a client why, one of {@link SqlState}. */
+  /** Returns the SQLSTATE for the client, one of {@link SqlState}. */
   public String sqlState() {
     return sqlState;
   }
 
-  /** What is not accepted, in a few words. */
+  /** Returns a short text for the client that says what was not accepted. */
   public String reason() {
     return reason;
   }
 
-  /** Whether the connection has to be closed. */
+  /** Returns whether the connection must be closed. */
   public boolean isFatal() {
     return isFatal;
   }
--- a/router/src/main/java/rushwood/protocol/ResponseAssembler.java
+++ b/router/src/main/java/rushwood/protocol/ResponseAssembler.java
@@ -12,22 +12,22 @@
 import rushwood.dispatch.BackendResponse;
 
 /**
- * Collects a host's response to one statement: a row or an error, and what the host reports of
- * itself.
+ * Collects the response of a host to one statement: a row or an error, and the role, position and
+ * load report of the host.
  */
 final class ResponseAssembler {
   private static final String ROLE_PARAMETER = "part";
   private static final String POSITION_PARAMETER = "caught_up_to";
   private static final String LOAD_REPORT_PARAMETER = "gauges";
 
-  private static final int ROW_PARTS = 3;
+  private static final int MESSAGES_PER_ROW = 3;
 
   private final ByteBufAllocator allocator;
   private final RowChecker rowChecker = new RowChecker();
   private boolean isHealthCheck;
-  private @Nullable CompositeByteBuf row; // owned until it is taken; none before its first part
-  private @Nullable String healthCheckValue; // the value of a health check's row
-  private @Nullable AttemptOutcome outcome; // once the row or an error is complete
+  private @Nullable CompositeByteBuf row; // owned until it is taken; null before the first message
+  private @Nullable String healthCheckValue; // the value in the row of a health check
+  private @Nullable AttemptOutcome outcome; // null until the row or an error is complete
   private HostRole role = HostRole.UNKNOWN;
   private long position = AttemptResult.NO_POSITION;
   private LoadReport report = LoadReport.NONE;
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Forgets all of the last response.
+   * Discards the previous response and prepares for the next one.
    *
-   * @param isHealthCheck whether the value of the row is a load report, and not passed on to a
-   *     client
+   * @param isHealthCheck whether the value of the row is a load report, which is parsed and not
+   *     passed on to a client
    */
   void begin(boolean isHealthCheck) {
     release();
@@ -53,24 +53,26 @@
     healthCheckValue = null;
   }
 
-  /** Whether the row or error is complete; parameters and ReadyForQuery may follow. */
+  /** Returns whether the row or error is complete; parameters and ReadyForQuery may follow. */
   boolean hasOutcome() {
     return outcome != null;
   }
 
   /**
-   * Adds a part of the row.
+   * Adds a message of the row.
    *
-   * @param message the whole message, its reader index at the body; retained if it is passed on
-   * @throws ProtocolException that is fatal, if {@link RowChecker} finds a fault or the response
-   *     was complete before
+   * @param type the type of the message
+   * @param message the whole message, whose reader index is at the body; retained unless this is a
+   *     health check
+   * @throws ProtocolException (fatal) if the message is malformed or out of order, or the row or
+   *     error was complete before
    */
-  void addRowPart(char type, ByteBuf message) throws ProtocolException {
+  void addRowMessage(char type, ByteBuf message) throws ProtocolException {
     if (hasOutcome()) {
       throw RowChecker.outOfOrder();
     }
     int bodyStart = message.readerIndex();
-    rowChecker.checkPart(type, message);
+    rowChecker.checkMessage(type, message);
     if (!isHealthCheck) {
       appendToRow(message);
     } else if (type == BackendMessageType.DATA_ROW) {
@@ -82,16 +84,16 @@
   }
 
   private void appendToRow(ByteBuf message) {
-    CompositeByteBuf parts = row;
-    if (parts == null) {
-      parts = allocator.compositeBuffer(ROW_PARTS);
-      row = parts;
+    CompositeByteBuf messages = row;
+    if (messages == null) {
+      messages = allocator.compositeBuffer(MESSAGES_PER_ROW);
+      row = messages;
     }
-    message.readerIndex(0); // type and length stand before the body
-    parts.addComponent(true, message.retainedSlice());
+    message.readerIndex(0); // includes type and length, which precede the body
+    messages.addComponent(true, message.retainedSlice());
   }
 
-  /** Drops the row, if a part of it was read: the statement ended with this error. */
+  /** Sets the outcome for an error, and discards the row if a part of it was read. */
   void addError(String sqlState) {
     release();
     outcome =
@@ -103,7 +105,7 @@
         };
   }
 
-  /** Reads what the host reports of itself; other parameters are ignored. */
+  /** Reads the role, position or load report of the host; other parameters are ignored. */
   void addParameter(String name, String value) {
     switch (name) {
       case ROLE_PARAMETER -> role = parseRole(value);
@@ -122,9 +124,9 @@
   }
 
   /**
-   * The response, whose row then belongs to the caller.
+   * Returns the response. The caller becomes the owner of its row.
    *
-   * @throws NullPointerException if there is no outcome yet
+   * @throws NullPointerException if the response has no outcome yet
    */
   BackendResponse take() {
     if (healthCheckValue != null) {
@@ -133,14 +135,14 @@
     ByteBuf completeRow = row;
     row = null;
     return new BackendResponse(
-        Objects.requireNonNull(outcome, "the response is complete"),
+        Objects.requireNonNull(outcome, "the response has no outcome"),
         completeRow,
         role,
         position,
         report);
   }
 
-  /** Releases the row unless it was taken. */
+  /** Releases the row, if there is one that was not taken. */
   void release() {
     if (row != null) {
       row.release();
--- a/router/src/main/java/rushwood/protocol/RowChecker.java
+++ b/router/src/main/java/rushwood/protocol/RowChecker.java
@@ -4,67 +4,69 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Checks that a row is exactly one RowDescription, one DataRow of one column and one
- * CommandComplete, in this order, and that their lengths fit to the byte: clients have to be able
- * to read what is passed on to them.
+ * Checks that a row consists of one RowDescription, one DataRow with one column and one
+ * CommandComplete, in this order, and that all lengths in them are consistent. The messages are
+ * passed on to clients unchanged, so clients must be able to parse them.
  */
 final class RowChecker {
-  private static final char NO_PART = 0;
+  private static final char NO_TYPE = 0;
 
-  /** A column count, and one name or the length of one value. */
-  private static final int MIN_PART_BYTES = 6;
+  /** The column count and the length of the first value. A RowDescription is never shorter. */
+  private static final int DATA_ROW_HEADER_BYTES = 6;
 
-  /** Behind the name of a column. */
+  /** The fields that follow the name of a column in a RowDescription. */
   private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
-  private char lastPart = NO_PART;
+  private char lastType = NO_TYPE;
 
-  /** The next part is the first one of a row. */
+  /** Prepares for the first message of the next row. */
   void begin() {
-    lastPart = NO_PART;
+    lastType = NO_TYPE;
   }
 
   boolean isComplete() {
-    return lastPart == BackendMessageType.COMMAND_COMPLETE;
+    return lastType == BackendMessageType.COMMAND_COMPLETE;
   }
 
   /**
-   * Checks the next part.
+   * Checks the next message of the row.
    *
-   * @param message its reader index at the body, of which an unspecified part is read
-   * @throws ProtocolException that is fatal, if it is out of order or its lengths do not fit
+   * @param type the type of the message
+   * @param message the message, whose reader index is at the body; the reader index is moved by an
+   *     unspecified number of bytes
+   * @throws ProtocolException (fatal) if the message is out of order or malformed
    */
-  void checkPart(char type, ByteBuf message) throws ProtocolException {
-    if (!isNext(type)) {
+  void checkMessage(char type, ByteBuf message) throws ProtocolException {
+    if (!isInOrder(type)) {
       throw outOfOrder();
     }
     checkLengths(type, message);
-    lastPart = type;
+    lastType = type;
   }
 
   static ProtocolException outOfOrder() {
-    return ProtocolException.protocolViolation("a part of a row out of order");
+    return ProtocolException.protocolViolation("row message out of order");
   }
 
-  /** The value of a DataRow that was checked and has its body at this index. */
+  /** Returns the value of a DataRow that was checked and whose body starts at this index. */
   static String columnValue(ByteBuf dataRow, int bodyStart) {
-    int start = bodyStart + MIN_PART_BYTES;
+    int start = bodyStart + DATA_ROW_HEADER_BYTES;
     return dataRow.toString(start, dataRow.writerIndex() - start, StandardCharsets.UTF_8);
   }
 
-  private boolean isNext(char type) {
+  private boolean isInOrder(char type) {
     return switch (type) {
-      case BackendMessageType.ROW_DESCRIPTION -> lastPart == NO_PART;
-      case BackendMessageType.DATA_ROW -> lastPart == BackendMessageType.ROW_DESCRIPTION;
-      case BackendMessageType.COMMAND_COMPLETE -> lastPart == BackendMessageType.DATA_ROW;
+      case BackendMessageType.ROW_DESCRIPTION -> lastType == NO_TYPE;
+      case BackendMessageType.DATA_ROW -> lastType == BackendMessageType.ROW_DESCRIPTION;
+      case BackendMessageType.COMMAND_COMPLETE -> lastType == BackendMessageType.DATA_ROW;
       default -> false;
     };
   }
 
   private static void checkLengths(char type, ByteBuf message) throws ProtocolException {
     if (type != BackendMessageType.COMMAND_COMPLETE
-        && (message.readableBytes() < MIN_PART_BYTES || message.readShort() != 1)) {
-      throw ProtocolException.protocolViolation("a row that has not one column");
+        && (message.readableBytes() < DATA_ROW_HEADER_BYTES || message.readShort() != 1)) {
+      throw ProtocolException.protocolViolation("row without exactly one column");
     }
     if (type != BackendMessageType.DATA_ROW) {
       CString.read(message);
@@ -76,7 +78,7 @@
           default -> 0;
         };
     if (message.readableBytes() != expectedBytes) {
-      throw ProtocolException.protocolViolation("a part of a row whose lengths do not fit");
+      throw ProtocolException.protocolViolation("row message with inconsistent lengths");
     }
   }
 }
--- a/router/src/main/java/rushwood/protocol/SqlStatement.java
+++ b/router/src/main/java/rushwood/protocol/SqlStatement.java
@@ -11,15 +11,19 @@
 import rushwood.dispatch.Statement;
 
 /**
- * A client's statement, as {@link SqlStatementParser} reads it. It is passed on to hosts unchanged
- * but for the timeout in its comment.
+ * A statement of a client, as parsed by {@link SqlStatementParser}. It is sent to hosts unchanged
+ * except for the timeout in its comment.
  *
- * @param text the statement without its closing zero; retained until {@link #release}
- * @param isWrite whether it is the INSERT that is served, not the SELECT
- * @param key the key that is read or written, by which sessions are told apart
- * @param group the group of hosts that it is for
- * @param lastWriteAt Unix time in nanoseconds of the session's last write as the client knows it, 0
- *     for none
+ * @param text the statement without its terminator; retained until {@link #release}
+ * @param isWrite whether the statement is a write (INSERT) rather than a read (SELECT)
+ * @param key the key that is read or written, which also identifies the session
+ * @param id the request id
+ * @param requestClass the request class, which matches {@code isWrite}
+ * @param group the group of hosts that the statement is for, or {@link GroupId#UNKNOWN} if the
+ *     client does not name it
+ * @param timeout how long the client waits for the response
+ * @param lastWriteUnixNanos when the last write of the session was committed, as reported by the
+ *     client, as Unix time in nanoseconds; 0 if there was none
  */
 public record SqlStatement(
     ByteBuf text,
@@ -29,16 +33,22 @@
     RequestClass requestClass,
     GroupId group,
     Timeout timeout,
-    long lastWriteAt)
+    long lastWriteUnixNanos)
     implements Statement {
 
   private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
   private static final int TYPE_BYTES = 1;
   private static final int LENGTH_BYTES = 4;
-  private static final int ZERO_BYTES = 1;
+  private static final int TERMINATOR_BYTES = 1;
 
-  /** How long the client waits, and where in the text's buffer that number stands. */
+  /**
+   * How long the client waits for the response.
+   *
+   * @param nanos the timeout in nanoseconds
+   * @param startIndex the index of the first digit of the timeout in the buffer of the text
+   * @param endIndex the index after the last digit of the timeout in the buffer of the text
+   */
   record Timeout(long nanos, int startIndex, int endIndex) {
     int length() {
       return endIndex - startIndex;
@@ -60,14 +70,18 @@
         0);
   }
 
-  /** Nanoseconds, at least 1 as 0 stands for no write. */
+  /**
+   * Returns the nanoseconds since the last write of the session, or 0 if there was none. At least 1
+   * if there was a write.
+   */
   private long sinceLastWrite(long now) {
-    return lastWriteAt == 0 ? 0 : Math.max(1, now - lastWriteAt);
+    return lastWriteUnixNanos == 0 ? 0 : Math.max(1, now - lastWriteUnixNanos);
   }
 
   /**
-   * The same for each try of a request by its client, never 0: FNV-1a over key and request class.
-   * Its bits are not spread well; whoever uses it as an index mixes it first.
+   * Returns a hash (FNV-1a) of the request class and the key. It is the same for each retry of a
+   * request by its client, and never 0. Its bits are not well distributed, so callers that derive
+   * an index from it must mix them first.
    */
   private long fingerprint() {
     long hash = FNV_OFFSET_BASIS ^ requestClass.index();
@@ -81,18 +95,18 @@
   public ByteBuf toMessage(long timeoutMillis) {
     byte[] digits = Long.toString(timeoutMillis).getBytes(StandardCharsets.US_ASCII);
     int start = text.readerIndex();
-    int length = text.readableBytes() - timeout.length() + digits.length + ZERO_BYTES;
-    ByteBuf head =
+    int length = text.readableBytes() - timeout.length() + digits.length + TERMINATOR_BYTES;
+    ByteBuf header =
         text.alloc()
             .buffer(TYPE_BYTES + LENGTH_BYTES)
             .writeByte(FrontendMessageType.QUERY)
             .writeInt(LENGTH_BYTES + length);
     return Unpooled.wrappedBuffer(
-        head,
+        header,
         text.retainedSlice(start, timeout.startIndex() - start),
         text.alloc().buffer(digits.length).writeBytes(digits),
         text.retainedSlice(timeout.endIndex(), text.writerIndex() - timeout.endIndex()),
-        Unpooled.wrappedBuffer(new byte[ZERO_BYTES]));
+        Unpooled.wrappedBuffer(new byte[TERMINATOR_BYTES]));
   }
 
   @Override
--- a/router/src/main/java/rushwood/protocol/SqlStatementParser.java
+++ b/router/src/main/java/rushwood/protocol/SqlStatementParser.java
@@ -9,13 +9,13 @@
 import rushwood.api.SessionId;
 
 /**
- * Parses the two statements that are served, a SELECT and an INSERT of one value with a comment of
- * fields at the end. The form is checked to the byte: a host closes the connection on a statement
- * that it cannot read, and would be taken for unhealthy.
+ * Parses the two supported statements: a SELECT and an INSERT of one value, each with a comment at
+ * the end that contains the fields of the request. Every byte is checked, because a host closes the
+ * connection on a statement that it cannot parse and would then be considered unhealthy.
  */
 public final class SqlStatementParser {
-  /** In bytes: far above keys in use. Sessions are stored by it. */
-  private static final int MAX_KEY_LENGTH = 256;
+  /** Far above the keys in use; limits the memory for sessions, which are stored by key. */
+  private static final int MAX_KEY_BYTES = 256;
 
   private static final byte[] READ_PREFIX =
       StatementScanner.ascii("SELECT val FROM state WHERE uid = '");
@@ -33,23 +33,23 @@
   private SqlStatementParser() {}
 
   /**
-   * Parses the text of a Query message without its closing zero. The statement retains the text if
-   * there is no error.
+   * Parses the text of a Query message without its terminator. The returned statement retains the
+   * text; if an exception is thrown the text is not retained.
    *
    * @throws ProtocolException with {@link SqlState#SYNTAX_ERROR} if the form is wrong or a field is
-   *     missing, {@link SqlState#INVALID_PARAMETER_VALUE} if the value of a field is not allowed
+   *     missing, with {@link SqlState#INVALID_PARAMETER_VALUE} if a field has an invalid value
    */
   public static SqlStatement parse(ByteBuf text, List<RequestClass> requestClasses)
       throws ProtocolException {
     StatementScanner scanner = new StatementScanner(text);
     boolean isWrite = skipPrefix(scanner);
-    SessionId key = new SessionId(scanner.readToken(KEY_CHARACTERS, MAX_KEY_LENGTH, "the key", ""));
+    SessionId key = new SessionId(scanner.readToken(KEY_CHARACTERS, MAX_KEY_BYTES, "the key", ""));
     if (isWrite) {
       skipValue(scanner);
     }
-    scanner.skip(isWrite ? WRITE_COMMENT_START : READ_COMMENT_START);
+    scanner.expect(isWrite ? WRITE_COMMENT_START : READ_COMMENT_START);
     StatementComment comment = new StatementComment(scanner);
-    scanner.skip(COMMENT_END);
+    scanner.expect(COMMENT_END);
     if (!scanner.isAtEnd()) {
       throw StatementScanner.syntaxError("the comment does not end the statement");
     }
@@ -57,25 +57,25 @@
     RequestId id = comment.id();
     GroupId group = comment.group();
     SqlStatement.Timeout timeout = comment.timeout();
-    long lastWriteAt = comment.lastWriteAt();
+    long lastWriteUnixNanos = comment.lastWriteUnixNanos();
     return new SqlStatement(
-        text.retain(), isWrite, key, id, requestClass, group, timeout, lastWriteAt);
+        text.retain(), isWrite, key, id, requestClass, group, timeout, lastWriteUnixNanos);
   }
 
-  /** Returns whether the statement is a write. */
+  /** Skips the start of the statement up to the key. Returns whether the statement is a write. */
   private static boolean skipPrefix(StatementScanner scanner) throws ProtocolException {
-    if (scanner.skipIfNext(WRITE_PREFIX)) {
+    if (scanner.tryConsume(WRITE_PREFIX)) {
       return true;
     }
-    if (!scanner.skipIfNext(READ_PREFIX)) {
+    if (!scanner.tryConsume(READ_PREFIX)) {
       throw StatementScanner.syntaxError("neither of the statements that are served");
     }
     return false;
   }
 
   private static void skipValue(StatementScanner scanner) throws ProtocolException {
-    scanner.skip(WRITE_VALUE_START);
-    if (scanner.skipRun(HEX_DIGITS) % 2 != 0) {
+    scanner.expect(WRITE_VALUE_START);
+    if (scanner.skipWhile(HEX_DIGITS) % 2 != 0) {
       throw StatementScanner.syntaxError("half a byte in the value");
     }
   }
--- a/router/src/main/java/rushwood/protocol/StartupHandshake.java
+++ b/router/src/main/java/rushwood/protocol/StartupHandshake.java
@@ -3,15 +3,15 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * The messages of a client that come before its session: a request for encryption, a request to
- * cancel the statement of another connection, or the start of the session.
+ * Processes the messages that a client may send before its session starts: an encryption request, a
+ * request to cancel the statement of another connection, or a startup message.
  */
 final class StartupHandshake {
-  /** What has become of the connection with a message. */
-  enum Progress {
-    /** Encryption was refused; the client may go on without. */
+  /** The effect of a message on the connection. */
+  enum Result {
+    /** Encryption was refused; the client may continue without it. */
     ENCRYPTION_REFUSED,
-    /** The client's request to cancel was passed on; the connection has no further use. */
+    /** The cancel request was passed on; the connection has no further purpose. */
     CANCEL_REQUESTED,
     /** The session was started. */
     SESSION_STARTED
@@ -22,7 +22,7 @@
   private static final int SSL_REQUEST_CODE = 80877103;
   private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
   private static final int CANCEL_REQUEST_CODE = 80877102;
-  private static final char ENCRYPTION_REFUSED = 'N';
+  private static final char ENCRYPTION_REFUSED_RESPONSE = 'N';
 
   private final FrontendCallbacks callbacks;
 
@@ -31,33 +31,32 @@
   }
 
   /**
-   * Processes the body of a message and writes its answer, if it has one.
+   * Processes the body of a message and writes the response, if the message has one.
    *
-   * @throws ProtocolException that is fatal, if the message has no version or one that is not
-   *     spoken
+   * @throws ProtocolException (fatal) if the message has no version or an unsupported one
    */
-  Progress process(ByteBuf message, ByteBuf out) throws ProtocolException {
+  Result process(ByteBuf message, ByteBuf out) throws ProtocolException {
     if (message.readableBytes() < VERSION_BYTES) {
       throw ProtocolException.protocolViolation("a startup message without a version");
     }
     int version = message.readInt();
     switch (version) {
       case SSL_REQUEST_CODE, GSS_ENCRYPTION_REQUEST_CODE -> {
-        out.writeByte(ENCRYPTION_REFUSED);
-        return Progress.ENCRYPTION_REFUSED;
+        out.writeByte(ENCRYPTION_REFUSED_RESPONSE);
+        return Result.ENCRYPTION_REFUSED;
       }
       case CANCEL_REQUEST_CODE -> {
         requestCancel(message);
-        return Progress.CANCEL_REQUESTED;
+        return Result.CANCEL_REQUESTED;
       }
       default -> {
         startSession(version, out);
-        return Progress.SESSION_STARTED;
+        return Result.SESSION_STARTED;
       }
     }
   }
 
-  /** Has no answer, by the protocol: nobody is to learn whether the key was right. */
+  /** Writes no response: by the protocol, the sender does not learn whether the key was valid. */
   private void requestCancel(ByteBuf message) {
     if (message.readableBytes() == CANCEL_KEY_BYTES) {
       callbacks.cancelRequest(message.readLong());
--- a/router/src/main/java/rushwood/protocol/StatementComment.java
+++ b/router/src/main/java/rushwood/protocol/StatementComment.java
@@ -9,25 +9,26 @@
 import rushwood.api.RequestId;
 
 /**
- * The fields in the comment of a statement, {@code name=value} separated by commas. Those that the
- * router does not know are passed on to hosts and otherwise ignored.
+ * The fields in the comment of a statement, as {@code name=value} pairs separated by commas. Fields
+ * that the router does not know are ignored, and are sent to hosts as part of the statement.
  *
- * <p>A field that is missing is a {@link SqlState#SYNTAX_ERROR}, a value that is not allowed an
- * {@link SqlState#INVALID_PARAMETER_VALUE}.
+ * <p>Errors are reported by a {@link ProtocolException} that is not fatal: with {@link
+ * SqlState#SYNTAX_ERROR} if the comment is malformed or a required field is missing, and with
+ * {@link SqlState#INVALID_PARAMETER_VALUE} if the value of a field is invalid.
  */
 final class StatementComment {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** In bytes, of a name or a value. */
-  private static final int MAX_FIELD_LENGTH = 256;
+  /** For the name and for the value of a field. */
+  private static final int MAX_FIELD_BYTES = 256;
 
-  /** In bytes: above any id in use. */
-  private static final int MAX_ID_LENGTH = 128;
+  /** Above the length of any request id in use. */
+  private static final int MAX_ID_BYTES = 128;
 
-  /** One hour: hosts and clients give up far earlier. */
+  /** One hour; hosts and clients time out far earlier. */
   private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
 
-  private static final long MAX_TIME_MILLIS = Long.MAX_VALUE / NANOS_PER_MILLI;
+  private static final long MAX_UNIX_TIME_MILLIS = Long.MAX_VALUE / NANOS_PER_MILLI;
 
   private static final byte[] COMMA = StatementScanner.ascii(",");
   private static final byte[] EQUALS = StatementScanner.ascii("=");
@@ -45,18 +46,18 @@
   private int timeoutStart;
   private int timeoutEnd;
 
-  /** Reads the fields that come next, one at least. */
+  /** Reads one or more fields at the position of the scanner. */
   StatementComment(StatementScanner scanner) throws ProtocolException {
     do {
       readField(scanner);
-    } while (scanner.skipIfNext(COMMA));
+    } while (scanner.tryConsume(COMMA));
   }
 
   private void readField(StatementScanner scanner) throws ProtocolException {
-    String name = scanner.readToken(FIELD_CHARACTERS, MAX_FIELD_LENGTH, "a field's name", "");
-    scanner.skip(EQUALS);
+    String name = scanner.readToken(FIELD_CHARACTERS, MAX_FIELD_BYTES, "a field's name", "");
+    scanner.expect(EQUALS);
     int valueStart = scanner.position();
-    String value = scanner.readToken(FIELD_CHARACTERS, MAX_FIELD_LENGTH, "the field ", name);
+    String value = scanner.readToken(FIELD_CHARACTERS, MAX_FIELD_BYTES, "the field ", name);
     if (fields.put(name, value) != null) {
       throw StatementScanner.syntaxError("the field " + name + " stands twice");
     }
@@ -66,7 +67,7 @@
     }
   }
 
-  /** The class of that name, if it goes with the kind of statement. */
+  /** Returns the request class that the comment names, which must match the kind of statement. */
   RequestClass requestClass(List<RequestClass> requestClasses, boolean isWrite)
       throws ProtocolException {
     RequestClass requestClass =
@@ -80,20 +81,20 @@
 
   RequestId id() throws ProtocolException {
     String id = requireField(ID_FIELD);
-    if (id.length() > MAX_ID_LENGTH) {
+    if (id.length() > MAX_ID_BYTES) {
       throw invalidField(ID_FIELD, "is too long");
     }
     return new RequestId(id);
   }
 
-  /** The group, {@link GroupId#UNKNOWN} if there is no such field. */
+  /** Returns the group, or {@link GroupId#UNKNOWN} if the comment does not name one. */
   GroupId group() throws ProtocolException {
     return fields.containsKey(GROUP_FIELD)
         ? new GroupId((int) parseNumber(GROUP_FIELD, Integer.MAX_VALUE))
         : GroupId.UNKNOWN;
   }
 
-  /** How long the client waits, more than no time and an hour at most. */
+  /** Returns how long the client waits for the response: more than zero, at most one hour. */
   SqlStatement.Timeout timeout() throws ProtocolException {
     long nanos = parseNumber(TIMEOUT_FIELD, MAX_TIMEOUT_MILLIS) * NANOS_PER_MILLI;
     if (nanos == 0) {
@@ -102,10 +103,13 @@
     return new SqlStatement.Timeout(nanos, timeoutStart, timeoutEnd);
   }
 
-  /** Unix time in nanoseconds of the session's last write, 0 if there is no such field. */
-  long lastWriteAt() throws ProtocolException {
+  /**
+   * Returns when the last write of the session was committed, as Unix time in nanoseconds, or 0 if
+   * the comment does not say.
+   */
+  long lastWriteUnixNanos() throws ProtocolException {
     return fields.containsKey(LAST_WRITE_FIELD)
-        ? parseNumber(LAST_WRITE_FIELD, MAX_TIME_MILLIS) * NANOS_PER_MILLI
+        ? parseNumber(LAST_WRITE_FIELD, MAX_UNIX_TIME_MILLIS) * NANOS_PER_MILLI
         : 0;
   }
 
@@ -116,7 +120,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // reported below, as a number out of range is
+      // handled below, like a number that is out of range
     }
     throw invalidField(field, "is no such number");
   }
--- a/router/src/main/java/rushwood/protocol/StatementScanner.java
+++ b/router/src/main/java/rushwood/protocol/StatementScanner.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A position in the text of a statement, which moves past what is expected next. What is not as
- * expected is a {@link SqlState#SYNTAX_ERROR}.
+ * Scans the text of a statement from start to end. Text that does not have the expected form is a
+ * {@link SqlState#SYNTAX_ERROR}.
  */
 final class StatementScanner {
   private final ByteBuf text;
   private int position;
 
-  /** Starts at the first byte of the text, whose reader index stays where it is. */
+  /** Starts at the reader index of the text, which the scanner does not move. */
   StatementScanner(ByteBuf text) {
     this.text = text;
     position = text.readerIndex();
@@ -26,7 +26,7 @@
     return ProtocolException.rejected(SqlState.SYNTAX_ERROR, message);
   }
 
-  /** The index in the buffer of the text. */
+  /** Returns the current index in the buffer of the text. */
   int position() {
     return position;
   }
@@ -35,8 +35,8 @@
     return position == text.writerIndex();
   }
 
-  /** Skips these bytes if they come next; returns whether they did. */
-  boolean skipIfNext(byte[] expected) {
+  /** Skips the expected bytes if they come next. Returns whether they did. */
+  boolean tryConsume(byte[] expected) {
     if (text.writerIndex() - position < expected.length) {
       return false;
     }
@@ -49,16 +49,16 @@
     return true;
   }
 
-  /** Skips these bytes, which have to come next. */
-  void skip(byte[] expected) throws ProtocolException {
-    if (!skipIfNext(expected)) {
+  /** Skips the expected bytes, or throws a syntax error if they do not come next. */
+  void expect(byte[] expected) throws ProtocolException {
+    if (!tryConsume(expected)) {
       int offset = position - text.readerIndex();
       throw syntaxError("not in the form that is served, at byte " + offset);
     }
   }
 
-  /** Skips as many allowed bytes as follow, and returns how many. */
-  int skipRun(ByteProcessor allowed) {
+  /** Skips to the first byte that is not allowed. Returns the number of bytes skipped. */
+  int skipWhile(ByteProcessor allowed) {
     int start = position;
     int end = text.forEachByte(start, text.writerIndex() - start, allowed);
     position = end < 0 ? text.writerIndex() : end;
@@ -66,15 +66,18 @@
   }
 
   /**
-   * Reads as many allowed bytes as follow: at least one, and at most {@code maxLength}.
+   * Reads up to the first byte that is not allowed.
    *
-   * @param kind what is read, for the error; the name follows it there
+   * @param maxBytes the maximum length of the token; the minimum is 1
+   * @param kind the kind of token, for the error message
+   * @param name appended to the kind in the error message; may be empty
+   * @throws ProtocolException with {@link SqlState#SYNTAX_ERROR} if the length is not allowed
    */
-  String readToken(ByteProcessor allowed, int maxLength, String kind, String name)
+  String readToken(ByteProcessor allowed, int maxBytes, String kind, String name)
       throws ProtocolException {
     int start = position;
-    int length = skipRun(allowed);
-    if (length == 0 || length > maxLength) {
+    int length = skipWhile(allowed);
+    if (length == 0 || length > maxBytes) {
       throw syntaxError(kind + name + " has " + length + " bytes");
     }
     return text.toString(start, length, StandardCharsets.US_ASCII);
--- a/router/src/main/java/rushwood/protocol/package-info.java
+++ b/router/src/main/java/rushwood/protocol/package-info.java
@@ -1,14 +1,16 @@
 /**
- * PostgreSQL's protocol, version 3, as state machines that are fed bytes and know no socket.
+ * Version 3 of PostgreSQL's protocol, as state machines that process bytes and do not depend on
+ * sockets.
  *
- * <p>{@link rushwood.protocol.FrontendProtocol} speaks with clients, {@link
- * rushwood.protocol.BackendProtocol} with hosts. Both cut their input with {@link
- * rushwood.protocol.MessageReader} and compose messages with {@link
- * rushwood.protocol.MessageWriter}. {@code rushwood.net} connects them to sockets; nothing here
- * depends on that package.
+ * <p>{@link rushwood.protocol.FrontendProtocol} handles connections of clients, {@link
+ * rushwood.protocol.BackendProtocol} connections to hosts. Both split their input into messages
+ * with {@link rushwood.protocol.MessageReader} and encode messages with {@link
+ * rushwood.protocol.MessageWriter}. {@code rushwood.net} connects them to sockets; this package
+ * does not depend on that one.
  *
- * <p>Nothing here is thread-safe: each object belongs to the event loop of its connection. Buffers
- * are reference-counted; who receives a buffer that is documented as taken over releases it.
+ * <p>The classes are not thread-safe: an instance must be used only on the event loop of its
+ * connection. Buffers are reference-counted; a method that takes ownership of a buffer is
+ * responsible for its release.
  */
 @NullMarked
 package rushwood.protocol;
--- a/router/src/test/java/rushwood/protocol/BackendProtocolTest.java
+++ b/router/src/test/java/rushwood/protocol/BackendProtocolTest.java
@@ -17,14 +17,14 @@
 import rushwood.dispatch.BackendResponse;
 
 class BackendProtocolTest {
-  private static final byte[] STATUS_AND_READY =
+  private static final byte[] PARAMETERS_AND_READY =
       TestMessages.concat(
           TestMessages.parameterStatus("part", "replica"),
           TestMessages.parameterStatus("caught_up_to", "1767225600123"),
           TestMessages.parameterStatus("gauges", "x0=1767225600.5,x1=1,queue=3"),
           TestMessages.readyForQuery());
 
-  /** Records what the protocol reports of a connection. */
+  /** A connection to a host. Records the events that the protocol reports. */
   private static final class TestBackend implements BackendConnection.Listener {
     final BackendProtocol protocol = new BackendProtocol(TestMessages.ALLOCATOR, this);
     final List<String> events = new ArrayList<>();
@@ -49,16 +49,18 @@
       events.add("connection lost");
     }
 
-    TestBackend feed(byte[]... parts) {
-      return feed(List.of(TestMessages.buffer(TestMessages.concat(parts))));
+    /** Feeds the messages in one read. */
+    TestBackend feed(byte[]... messages) {
+      return feed(List.of(TestMessages.buffer(TestMessages.concat(messages))));
     }
 
-    TestBackend feed(List<ByteBuf> parts) {
-      for (ByteBuf part : parts) {
+    /** Feeds each fragment in a read of its own. */
+    TestBackend feed(List<ByteBuf> fragments) {
+      for (ByteBuf fragment : fragments) {
         if (usable) {
-          usable = protocol.feed(part) && protocol.completeRead();
+          usable = protocol.feed(fragment) && protocol.completeRead();
         } else {
-          part.release();
+          fragment.release();
         }
       }
       if (!usable) {
@@ -68,8 +70,8 @@
     }
   }
 
-  /** A connection on which a statement was sent. */
-  private static TestBackend statementSent(boolean isHealthCheck) {
+  /** Returns a connection on which a statement was sent. */
+  private static TestBackend backendWithPendingStatement(boolean isHealthCheck) {
     TestBackend backend = new TestBackend().feed(TestMessages.startupResponse());
     assertEquals(List.of("connected"), backend.events);
     backend.events.clear();
@@ -78,16 +80,16 @@
   }
 
   @AfterEach
-  void allBuffersAreReleased() {
+  void assertAllBuffersReleased() {
     TestMessages.assertAllReleased();
   }
 
-  /** Checks what is reported of a host's answer, however its bytes are cut. */
-  private static void check(String expected, byte[]... written) {
+  /** Asserts the only event that is reported for the input, in any fragmentation. */
+  private static void assertReported(String expected, byte[]... input) {
     TestMessages.forEachFragmentation(
-        TestMessages.concat(written),
-        pieces -> {
-          TestBackend backend = statementSent(false).feed(pieces);
+        TestMessages.concat(input),
+        fragments -> {
+          TestBackend backend = backendWithPendingStatement(false).feed(fragments);
           assertEquals(List.of(expected), backend.events);
           backend.protocol.close();
         });
@@ -97,9 +99,9 @@
   void rowIsPassedOnUnchanged() {
     byte[] row = TestMessages.rowResponse("value");
     TestMessages.forEachFragmentation(
-        TestMessages.concat(row, STATUS_AND_READY),
-        pieces -> {
-          TestBackend backend = statementSent(false).feed(pieces);
+        TestMessages.concat(row, PARAMETERS_AND_READY),
+        fragments -> {
+          TestBackend backend = backendWithPendingStatement(false).feed(fragments);
           assertEquals(List.of("SUCCESS reusable"), backend.events);
           assertArrayEquals(row, backend.row);
           assertEquals(HostRole.REPLICA, backend.response.role());
@@ -110,44 +112,48 @@
   }
 
   @Test
-  void errorsAreToldApartBySqlState() {
-    check("REPLICA_LAGGING reusable", TestMessages.errorResponse("25006"), STATUS_AND_READY);
-    check("REPLICA_LAGGING reusable", TestMessages.errorResponse("72000"), STATUS_AND_READY);
-    check("ERROR reusable", TestMessages.errorResponse("XX000"), STATUS_AND_READY);
-    check("ERROR reusable", TestMessages.errorResponse("08P01"), TestMessages.readyForQuery());
-    check("OVERLOADED reusable", TestMessages.errorResponse("53300"), TestMessages.readyForQuery());
+  void outcomeOfAnErrorDependsOnItsSqlState() {
+    assertReported(
+        "REPLICA_LAGGING reusable", TestMessages.errorResponse("25006"), PARAMETERS_AND_READY);
+    assertReported(
+        "REPLICA_LAGGING reusable", TestMessages.errorResponse("72000"), PARAMETERS_AND_READY);
+    assertReported("ERROR reusable", TestMessages.errorResponse("XX000"), PARAMETERS_AND_READY);
+    assertReported(
+        "ERROR reusable", TestMessages.errorResponse("08P01"), TestMessages.readyForQuery());
+    assertReported(
+        "OVERLOADED reusable", TestMessages.errorResponse("53300"), TestMessages.readyForQuery());
   }
 
   @Test
-  void malformedAnswersEndTheConnection() {
-    check("MALFORMED", TestMessages.readyForQuery());
-    check("SUCCESS", TestMessages.rowResponse("v"), TestMessages.rowResponse("v"));
-    check("MALFORMED", TestMessages.message('D', new byte[] {0, 1, 0, 0, 0, 0}));
-    check("MALFORMED", TestMessages.message('T', new byte[] {0, 2}));
-    check("MALFORMED", TestMessages.message('S', new byte[] {'a'}));
-    check(
+  void malformedResponsesCloseTheConnection() {
+    assertReported("MALFORMED", TestMessages.readyForQuery());
+    assertReported("SUCCESS", TestMessages.rowResponse("v"), TestMessages.rowResponse("v"));
+    assertReported("MALFORMED", TestMessages.message('D', new byte[] {0, 1, 0, 0, 0, 0}));
+    assertReported("MALFORMED", TestMessages.message('T', new byte[] {0, 2}));
+    assertReported("MALFORMED", TestMessages.message('S', new byte[] {'a'}));
+    assertReported(
         "MALFORMED",
         TestMessages.message('E', "SERROR\0C53300\0".getBytes(StandardCharsets.US_ASCII)));
-    check(
+    assertReported(
         "MALFORMED",
         TestMessages.message('E', "SERROR\0C!\0\0".getBytes(StandardCharsets.US_ASCII)));
-    check("MALFORMED", TestMessages.startupResponse());
+    assertReported("MALFORMED", TestMessages.startupResponse());
   }
 
-  /** Found at the head of a message, as the rest of it may never arrive. */
+  /** The body of a message with a malformed header may never arrive. */
   @Test
-  void malformedHeadsAreReportedAtOnce() {
-    check("MALFORMED", new byte[] {'?'});
-    check("MALFORMED", new byte[] {'D', (byte) 0xb2, -48, 94, 0});
-    check("MALFORMED", new byte[] {'Z', 0, 0, 0, 6});
-    check("SUCCESS", TestMessages.rowResponse("v"), new byte[] {'Z', 0, 0, 0, 4});
+  void malformedHeadersAreDetectedBeforeTheBodyArrives() {
+    assertReported("MALFORMED", new byte[] {'?'});
+    assertReported("MALFORMED", new byte[] {'D', (byte) 0xb2, -48, 94, 0});
+    assertReported("MALFORMED", new byte[] {'Z', 0, 0, 0, 6});
+    assertReported("SUCCESS", TestMessages.rowResponse("v"), new byte[] {'Z', 0, 0, 0, 4});
   }
 
-  /** Hosts hold values far above those that clients may write. */
+  /** Hosts can return larger values than the router lets clients write. */
   @Test
   void largeValuesAreRead() {
     TestBackend backend =
-        statementSent(false)
+        backendWithPendingStatement(false)
             .feed(TestMessages.rowResponse("v".repeat(600_000)), TestMessages.readyForQuery());
     assertEquals(List.of("SUCCESS reusable"), backend.events);
   }
@@ -155,39 +161,41 @@
   @Test
   void rowsWithWrongLengthsAreNotPassedOn() {
     byte[] row = TestMessages.rowResponse("value");
-    for (int at : new int[] {4, 6, 33, 35, 39, 49}) {
-      for (int by : new int[] {1, 2, 127}) {
+    for (int offset : new int[] {4, 6, 33, 35, 39, 49}) {
+      for (int delta : new int[] {1, 2, 127}) {
         byte[] malformed = row.clone();
-        malformed[at] = (byte) (row[at] + by);
-        TestBackend backend = statementSent(false).feed(malformed, TestMessages.readyForQuery());
-        assertTrue(backend.row == null, "passed on with byte " + at + " changed");
+        malformed[offset] = (byte) (row[offset] + delta);
+        TestBackend backend =
+            backendWithPendingStatement(false).feed(malformed, TestMessages.readyForQuery());
+        assertTrue(backend.row == null, "passed on with byte " + offset + " changed");
         backend.protocol.close();
       }
     }
   }
 
   @Test
-  void connectionLostWithinARow() {
+  void connectionLostBeforeTheRowIsComplete() {
     byte[] row = TestMessages.rowResponse("value");
-    for (int cut = 0; cut < row.length; cut++) {
-      TestBackend backend = statementSent(false).feed(Arrays.copyOf(row, cut));
+    for (int length = 0; length < row.length; length++) {
+      TestBackend backend = backendWithPendingStatement(false).feed(Arrays.copyOf(row, length));
       backend.protocol.connectionLost(true);
       assertEquals(List.of("connection lost"), backend.events);
     }
   }
 
   @Test
-  void completeAnswerCountsWithoutReadyForQuery() {
-    TestBackend whole = statementSent(false).feed(TestMessages.rowResponse("v"));
-    whole.protocol.connectionLost(true);
-    assertEquals(List.of("SUCCESS"), whole.events);
-    TestBackend error = statementSent(false).feed(TestMessages.errorResponse("53300"));
+  void completeResponseIsReportedWithoutReadyForQuery() {
+    TestBackend row = backendWithPendingStatement(false).feed(TestMessages.rowResponse("v"));
+    row.protocol.connectionLost(true);
+    assertEquals(List.of("SUCCESS"), row.events);
+    TestBackend error =
+        backendWithPendingStatement(false).feed(TestMessages.errorResponse("53300"));
     error.protocol.connectionLost(true);
     assertEquals(List.of("OVERLOADED"), error.events);
   }
 
   @Test
-  void refusedConnections() {
+  void refusedConnectionsAreReported() {
     TestBackend full = new TestBackend().feed(TestMessages.errorResponse("53300"));
     assertEquals(List.of("OVERLOADED"), full.events);
     TestBackend down = new TestBackend().feed(TestMessages.errorResponse("57P03"));
@@ -198,33 +206,38 @@
   }
 
   @Test
-  void unrequestedAnswerEndsTheConnection() {
+  void unsolicitedResponseClosesTheConnection() {
     TestBackend backend =
-        statementSent(false).feed(TestMessages.rowResponse("v"), TestMessages.readyForQuery());
+        backendWithPendingStatement(false)
+            .feed(TestMessages.rowResponse("v"), TestMessages.readyForQuery());
     backend.feed(TestMessages.rowResponse("w"));
     assertEquals(List.of("SUCCESS reusable", "connection lost"), backend.events);
   }
 
-  /** Data behind an answer in the same read never becomes the answer to the next statement. */
+  /** Data that follows a response must not become the response to the next statement. */
   @Test
   void connectionWithExcessDataIsNotReused() {
     for (byte[] excess :
         List.of(TestMessages.rowResponse("v"), new byte[] {0}, TestMessages.readyForQuery())) {
       TestBackend backend =
-          statementSent(false).feed(TestMessages.rowResponse("v"), STATUS_AND_READY, excess);
+          backendWithPendingStatement(false)
+              .feed(TestMessages.rowResponse("v"), PARAMETERS_AND_READY, excess);
       assertEquals(List.of("SUCCESS"), backend.events);
       assertEquals(HostRole.REPLICA, backend.response.role());
     }
-    TestBackend half = statementSent(false).feed(TestMessages.rowResponse("v"), STATUS_AND_READY);
-    half.feed(new byte[] {'S', 0});
-    assertEquals(false, half.protocol.isUsable());
-    half.protocol.close();
+    TestBackend backend =
+        backendWithPendingStatement(false)
+            .feed(TestMessages.rowResponse("v"), PARAMETERS_AND_READY);
+    backend.feed(new byte[] {'S', 0});
+    assertEquals(false, backend.protocol.isUsable());
+    backend.protocol.close();
   }
 
   @Test
-  void statusOfAnAnswerDoesNotCountForTheNext() {
+  void parametersApplyOnlyToTheirResponse() {
     TestBackend backend =
-        statementSent(false).feed(TestMessages.rowResponse("v"), STATUS_AND_READY);
+        backendWithPendingStatement(false)
+            .feed(TestMessages.rowResponse("v"), PARAMETERS_AND_READY);
     backend.protocol.beginStatement(false);
     backend.feed(TestMessages.rowResponse("w"), TestMessages.readyForQuery());
     assertEquals(HostRole.UNKNOWN, backend.response.role());
@@ -235,26 +248,26 @@
   @Test
   void rowOfAHealthCheckIsALoadReport() {
     TestBackend backend =
-        statementSent(true)
+        backendWithPendingStatement(true)
             .feed(TestMessages.rowResponse("x0=12.5,x1=0"), TestMessages.readyForQuery());
     assertEquals(List.of("SUCCESS reusable"), backend.events);
     assertEquals(12.5e9, backend.response.report().position());
     assertEquals(HostRole.REPLICA, backend.response.report().role());
-    TestBackend bad =
-        statementSent(true)
+    TestBackend malformed =
+        backendWithPendingStatement(true)
             .feed(TestMessages.rowResponse("x0=,x1,=,;x0=1e999"), TestMessages.readyForQuery());
-    assertFalse(bad.response.report().hasPosition());
-    TestBackend cut =
-        statementSent(true)
+    assertFalse(malformed.response.report().hasPosition());
+    TestBackend truncated =
+        backendWithPendingStatement(true)
             .feed(
                 TestMessages.message('T', new byte[] {0, 1}),
                 TestMessages.message('D', new byte[] {0, 1, 0, 0, 1, 0}));
-    assertEquals(List.of("MALFORMED"), cut.events);
+    assertEquals(List.of("MALFORMED"), truncated.events);
   }
 
   @Test
   void nothingIsReportedAfterClose() {
-    TestBackend backend = statementSent(false).feed(TestMessages.rowResponse("v"));
+    TestBackend backend = backendWithPendingStatement(false).feed(TestMessages.rowResponse("v"));
     backend.protocol.close();
     backend.protocol.connectionLost(true);
     assertEquals(List.of(), backend.events);
--- a/router/src/test/java/rushwood/protocol/FrontendProtocolTest.java
+++ b/router/src/test/java/rushwood/protocol/FrontendProtocolTest.java
@@ -15,13 +15,16 @@
   private static final String STARTUP_RESPONSE = "R S S S S S K Z";
   private static final String READ = TestMessages.readStatement("a", ",d=480");
 
-  /** Records what the protocol asks for; answers each request at once, or as the test says. */
+  /**
+   * The connection of a client. Records the calls and the output of the protocol, and responds to
+   * requests immediately if {@link #respondsImmediately} is set.
+   */
   private static final class TestConnection implements FrontendCallbacks {
     final ByteBuf out = TestMessages.ALLOCATOR.heapBuffer();
     final List<String> submitted = new ArrayList<>();
     final FrontendProtocol protocol = new FrontendProtocol(TestMessages.ALLOCATOR, this);
     boolean ready = true;
-    boolean answersAtOnce = true;
+    boolean respondsImmediately = true;
     boolean closed;
     boolean terminated;
     long cancelledKey;
@@ -37,7 +40,7 @@
     public void submit(ByteBuf text) throws ProtocolException {
       SqlStatementParser.parse(text, TestMessages.REQUEST_CLASSES).release();
       submitted.add(text.toString(StandardCharsets.UTF_8));
-      if (answersAtOnce) {
+      if (respondsImmediately) {
         protocol.sendResult(TestMessages.buffer(TestMessages.rowResponse("v")));
       }
     }
@@ -87,31 +90,33 @@
       resumeRequested = true;
     }
 
-    TestConnection feed(List<ByteBuf> parts) {
-      for (ByteBuf part : parts) {
+    /** Feeds each fragment in a read of its own. */
+    TestConnection feed(List<ByteBuf> fragments) {
+      for (ByteBuf fragment : fragments) {
         if (closed) {
-          part.release(); // as the connection does
+          fragment.release(); // as FrontendConnection does
         } else {
-          protocol.feed(part);
-          runTurn();
+          protocol.feed(fragment);
+          runScheduledResumes();
         }
       }
       return this;
     }
 
-    TestConnection feed(byte[]... parts) {
-      return feed(List.of(TestMessages.buffer(TestMessages.concat(parts))));
+    /** Feeds the messages in one read. */
+    TestConnection feed(byte[]... messages) {
+      return feed(List.of(TestMessages.buffer(TestMessages.concat(messages))));
     }
 
-    void runTurn() {
+    void runScheduledResumes() {
       while (resumeRequested && !closed) {
         resumeRequested = false;
         protocol.resume();
       }
     }
 
-    /** The messages that were written since the last call. */
-    String writtenTypes() {
+    /** Returns the types of the messages that were written since the last call. */
+    String takeWrittenTypes() {
       byte[] bytes = new byte[out.readableBytes()];
       out.readBytes(bytes);
       return TestMessages.messageTypes(bytes);
@@ -119,24 +124,25 @@
   }
 
   @AfterEach
-  void allBuffersAreReleased() {
+  void assertAllBuffersReleased() {
     TestMessages.assertAllReleased();
   }
 
-  private static void check(String expected, boolean closes, byte[]... parts) {
+  /** Asserts the types of the messages written for the input, in any fragmentation. */
+  private static void assertWritten(String expectedTypes, boolean expectClosed, byte[]... input) {
     TestMessages.forEachFragmentation(
-        TestMessages.concat(parts),
-        pieces -> {
-          TestConnection connection = new TestConnection().feed(pieces);
-          assertEquals(expected, connection.writtenTypes());
-          assertEquals(closes, connection.closed);
+        TestMessages.concat(input),
+        fragments -> {
+          TestConnection connection = new TestConnection().feed(fragments);
+          assertEquals(expectedTypes, connection.takeWrittenTypes());
+          assertEquals(expectClosed, connection.closed);
           connection.protocol.connectionClosed();
         });
   }
 
   @Test
-  void startupFollowedByQueries() {
-    check(
+  void queriesAreServedAfterStartup() {
+    assertWritten(
         STARTUP_RESPONSE + " T D C Z I Z T D C Z",
         false,
         TestMessages.startup(),
@@ -146,30 +152,30 @@
   }
 
   @Test
-  void encryptionIsRefusedAndTheClientGoesOn() {
+  void startupContinuesAfterEncryptionIsRefused() {
     byte[] sslRequest = TestMessages.startup(80877103, "");
     TestMessages.forEachFragmentation(
         TestMessages.concat(sslRequest, TestMessages.startup()),
-        pieces -> {
-          TestConnection connection = new TestConnection().feed(pieces);
+        fragments -> {
+          TestConnection connection = new TestConnection().feed(fragments);
           assertEquals('N', connection.out.readByte());
-          assertEquals(STARTUP_RESPONSE, connection.writtenTypes());
+          assertEquals(STARTUP_RESPONSE, connection.takeWrittenTypes());
           connection.protocol.connectionClosed();
         });
   }
 
   @Test
-  void cancelRequestIsPassedOnWithoutAnAnswer() {
+  void cancelRequestIsPassedOnWithoutAResponse() {
     byte[] cancelRequest = TestMessages.startup(80877102, "12345678");
-    check("", true, cancelRequest);
+    assertWritten("", true, cancelRequest);
     TestConnection connection = new TestConnection().feed(cancelRequest);
     assertEquals(0x3132333435363738L, connection.cancelledKey);
   }
 
   @Test
-  void terminateBehindAPendingRequestEndsTheConnection() {
+  void terminateBehindAPendingRequestClosesTheConnection() {
     TestConnection connection = new TestConnection();
-    connection.answersAtOnce = false;
+    connection.respondsImmediately = false;
     connection.feed(TestMessages.startup(), TestMessages.query(READ));
     assertEquals(false, connection.terminated);
     connection.feed(TestMessages.query(READ), TestMessages.message('X', new byte[0]));
@@ -179,23 +185,23 @@
   }
 
   @Test
-  void onlyVersionThreeIsSpoken() {
-    check("E(0A000)", true, TestMessages.startup(2 << 16, "\0"));
-    check(
+  void onlyProtocolVersion3IsSupported() {
+    assertWritten("E(0A000)", true, TestMessages.startup(2 << 16, "\0"));
+    assertWritten(
         "v " + STARTUP_RESPONSE,
         false,
         TestMessages.startup(MessageWriter.PROTOCOL_VERSION + 2, "user\0client\0\0"));
   }
 
   @Test
-  void malformedStartupMessagesEndTheConnection() {
-    check("E(08P01)", true, new byte[] {0, 0, 0, 5, 0});
-    check("E(08P01)", true, "GET / HTTP/1.1\r\n".getBytes(StandardCharsets.US_ASCII));
+  void malformedStartupMessagesCloseTheConnection() {
+    assertWritten("E(08P01)", true, new byte[] {0, 0, 0, 5, 0});
+    assertWritten("E(08P01)", true, "GET / HTTP/1.1\r\n".getBytes(StandardCharsets.US_ASCII));
   }
 
   @Test
-  void extendedQueriesAreSkippedUpToTheirSync() {
-    check(
+  void extendedQueriesAreSkippedUpToTheNextSync() {
+    assertWritten(
         STARTUP_RESPONSE + " E(0A000) Z T D C Z",
         false,
         TestMessages.startup(),
@@ -209,20 +215,20 @@
   }
 
   @Test
-  void malformedMessagesEndTheConnection() {
-    check(
+  void malformedMessagesCloseTheConnection() {
+    assertWritten(
         STARTUP_RESPONSE + " E(08P01)", true, TestMessages.startup(), new byte[] {'Q', 0, 0, 0, 3});
-    check(
+    assertWritten(
         STARTUP_RESPONSE + " E(08P01)",
         true,
         TestMessages.startup(),
         new byte[] {'Q', 127, 0, 0, 0});
-    check(
+    assertWritten(
         STARTUP_RESPONSE + " E(08P01)",
         true,
         TestMessages.startup(),
         TestMessages.message('?', new byte[0]));
-    check(
+    assertWritten(
         STARTUP_RESPONSE,
         true,
         TestMessages.startup(),
@@ -238,10 +244,10 @@
           new TestConnection()
               .feed(
                   TestMessages.startup(), TestMessages.query(statement), TestMessages.query(READ));
-      assertEquals(STARTUP_RESPONSE + " E(42601) Z T D C Z", connection.writtenTypes());
+      assertEquals(STARTUP_RESPONSE + " E(42601) Z T D C Z", connection.takeWrittenTypes());
       assertEquals(List.of(READ), connection.submitted);
     }
-    check(
+    assertWritten(
         STARTUP_RESPONSE + " E(08P01) Z",
         false,
         TestMessages.startup(),
@@ -249,55 +255,55 @@
   }
 
   @Test
-  void emptyQueryIsAnsweredWithAnErrorUntilReady() {
+  void emptyQueryFailsUntilTheRouterIsReady() {
     TestConnection connection = new TestConnection();
     connection.ready = false;
     assertEquals(
         STARTUP_RESPONSE + " E(57P03) Z",
-        connection.feed(TestMessages.startup(), TestMessages.query("")).writtenTypes());
+        connection.feed(TestMessages.startup(), TestMessages.query("")).takeWrittenTypes());
     connection.ready = true;
-    assertEquals("I Z", connection.feed(TestMessages.query("")).writtenTypes());
+    assertEquals("I Z", connection.feed(TestMessages.query("")).takeWrittenTypes());
   }
 
   @Test
   void showCountersIsAnsweredLocally() {
-    check(
+    assertWritten(
         STARTUP_RESPONSE + " T D C Z",
         false,
         TestMessages.startup(),
         TestMessages.query("show counters;"));
   }
 
-  /** A request is submitted when the one before is answered, and has exactly one answer. */
+  /** A request is submitted after the previous response, and gets exactly one response. */
   @Test
-  void eachRequestHasOneAnswerInOrder() {
+  void eachRequestGetsOneResponseInOrder() {
     TestConnection connection = new TestConnection();
-    connection.answersAtOnce = false;
+    connection.respondsImmediately = false;
     connection.feed(
         TestMessages.startup(),
         TestMessages.query(READ),
         TestMessages.query(READ),
         TestMessages.query(READ));
-    assertEquals(STARTUP_RESPONSE, connection.writtenTypes());
+    assertEquals(STARTUP_RESPONSE, connection.takeWrittenTypes());
     assertEquals(1, connection.submitted.size());
     connection.protocol.sendRejection(250_000_000);
-    assertEquals("E(53300) Z", connection.writtenTypes());
+    assertEquals("E(53300) Z", connection.takeWrittenTypes());
     connection.protocol.sendFailure();
-    assertEquals("", connection.writtenTypes(), "a second answer to the same request");
-    connection.runTurn();
+    assertEquals("", connection.takeWrittenTypes(), "a second response to the same request");
+    connection.runScheduledResumes();
     assertEquals(2, connection.submitted.size());
     connection.protocol.sendFailure();
-    connection.runTurn();
-    assertEquals("E(58000) Z", connection.writtenTypes());
+    connection.runScheduledResumes();
+    assertEquals("E(58000) Z", connection.takeWrittenTypes());
     connection.protocol.connectionClosed();
     connection.protocol.sendResult(TestMessages.buffer(TestMessages.rowResponse("v")));
-    assertEquals("", connection.writtenTypes(), "an answer after the connection was closed");
+    assertEquals("", connection.takeWrittenTypes(), "a response after the connection was closed");
   }
 
   @Test
-  void retryAfterIsTheDetailOfARejection() {
+  void retryAfterIsTheDetailFieldOfARejection() {
     TestConnection connection = new TestConnection();
-    connection.answersAtOnce = false;
+    connection.respondsImmediately = false;
     connection.feed(TestMessages.startup(), TestMessages.query(READ));
     connection.protocol.sendRejection(250_000_000);
     assertTrue(connection.out.toString(StandardCharsets.UTF_8).contains("D250\0"));
@@ -311,17 +317,17 @@
     idle.protocol.drain();
     assertTrue(idle.closed);
     TestConnection busy = new TestConnection();
-    busy.answersAtOnce = false;
+    busy.respondsImmediately = false;
     byte[] second = TestMessages.query(READ);
     busy.feed(TestMessages.startup(), TestMessages.query(READ), Arrays.copyOf(second, 9));
     busy.protocol.drain();
     busy.protocol.sendFailure();
-    busy.runTurn();
-    assertEquals(false, busy.closed, "half of a request was read");
+    busy.runScheduledResumes();
+    assertEquals(false, busy.closed, "closed with a partially received request");
     busy.feed(Arrays.copyOfRange(second, 9, second.length));
     busy.protocol.sendFailure();
-    busy.runTurn();
+    busy.runScheduledResumes();
     assertTrue(busy.closed);
-    assertEquals(STARTUP_RESPONSE + " E(58000) Z E(58000) Z", busy.writtenTypes());
+    assertEquals(STARTUP_RESPONSE + " E(58000) Z E(58000) Z", busy.takeWrittenTypes());
   }
 }
--- a/router/src/test/java/rushwood/protocol/SqlStatementParserTest.java
+++ b/router/src/test/java/rushwood/protocol/SqlStatementParserTest.java
@@ -13,11 +13,11 @@
   private static final String WRITE = TestMessages.writeStatement("a", ",d=1");
 
   @AfterEach
-  void allBuffersAreReleased() {
+  void assertAllBuffersReleased() {
     TestMessages.assertAllReleased();
   }
 
-  static List<String> statementsInAnotherForm() {
+  static List<String> unsupportedForms() {
     return List.of(
         TestMessages.readStatement("a", ""),
         TestMessages.readStatement("a", ",d=1,d=2"),
@@ -39,8 +39,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("statementsInAnotherForm")
-  void statementsInAnotherFormAreSyntaxErrors(String text) {
+  @MethodSource("unsupportedForms")
+  void unsupportedFormsAreSyntaxErrors(String text) {
     assertRejected("42601", text);
   }
 
--- a/router/src/test/java/rushwood/protocol/SqlStatementTest.java
+++ b/router/src/test/java/rushwood/protocol/SqlStatementTest.java
@@ -12,12 +12,12 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   @AfterEach
-  void allBuffersAreReleased() {
+  void assertAllBuffersReleased() {
     TestMessages.assertAllReleased();
   }
 
   @Test
-  void requestHoldsTheFieldsOfTheComment() throws ProtocolException {
+  void requestIsBuiltFromTheFieldsOfTheComment() throws ProtocolException {
     SqlStatement statement =
         TestMessages.parse(
             "SELECT val FROM state WHERE uid = 's7' "
@@ -28,17 +28,18 @@
     assertEquals("mine", request.requestClass().name());
     assertEquals("s7", request.session().value());
     assertEquals(2, request.group().value());
-    assertEquals(now + 380 * NANOS_PER_MILLI, request.deadline(), "counted from its arrival");
+    assertEquals(
+        now + 380 * NANOS_PER_MILLI, request.deadline(), "counts from the earliest arrival");
     assertEquals(877 * NANOS_PER_MILLI, request.sinceLastWriteNanos());
     assertEquals(
         now + 9,
         statement.toRequest(now, now, now + 9).deadline(),
-        "limited by the shutdown of the router");
+        "limited by the latest deadline");
     statement.release();
   }
 
   @Test
-  void readsOfAClassWithoutSessionsNameNone() throws ProtocolException {
+  void readsOfAClassWithoutSessionsHaveNoSession() throws ProtocolException {
     SqlStatement statement = TestMessages.parse(TestMessages.readStatement("a", ",d=480"));
     assertNull(statement.toRequest(0, 0, 1).session());
     assertEquals(0, statement.toRequest(0, 0, 1).sinceLastWriteNanos());
--- a/router/src/test/java/rushwood/protocol/TestMessages.java
+++ b/router/src/test/java/rushwood/protocol/TestMessages.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import rushwood.api.RequestClass;
 
-/** Composes and reads messages for tests, and finds buffers that were not released. */
+/** Encodes and decodes messages for tests, and detects buffers that were not released. */
 public final class TestMessages {
   public static final ByteBufAllocator ALLOCATOR = UnpooledByteBufAllocator.DEFAULT;
   public static final List<RequestClass> REQUEST_CLASSES =
@@ -56,17 +56,17 @@
 
   private TestMessages() {}
 
-  /** A buffer that {@link #assertAllReleased} checks. */
+  /** Returns a buffer whose release {@link #assertAllReleased} checks. */
   public static ByteBuf buffer(byte[] bytes) {
     ByteBuf buffer = ALLOCATOR.buffer(bytes.length).writeBytes(bytes);
     ALLOCATED.add(buffer);
     return buffer;
   }
 
-  /** Fails if a buffer that was created since the last call was not released. */
+  /** Fails if a buffer created by {@link #buffer} since the last call was not released. */
   public static void assertAllReleased() {
     List<ByteBuf> allocated = List.copyOf(ALLOCATED);
-    ALLOCATED.clear(); // also if the check fails: else all later tests would fail with it
+    ALLOCATED.clear(); // before the check, so that a failure does not make later tests fail
     allocated.forEach(buffer -> assertEquals(0, buffer.refCnt(), "a buffer was not released"));
   }
 
@@ -78,10 +78,10 @@
     return readAndRelease(out);
   }
 
-  public static byte[] readAndRelease(ByteBuf from) {
-    byte[] bytes = new byte[from.readableBytes()];
-    from.readBytes(bytes);
-    from.release();
+  public static byte[] readAndRelease(ByteBuf in) {
+    byte[] bytes = new byte[in.readableBytes()];
+    in.readBytes(bytes);
+    in.release();
     return bytes;
   }
 
@@ -128,7 +128,7 @@
         out -> MessageWriter.writeErrorResponse(out, ErrorResponse.error(sqlState, "no")));
   }
 
-  /** A row of one column, without ReadyForQuery. */
+  /** Returns the messages of a row with one column, without ReadyForQuery. */
   public static byte[] rowResponse(String value) {
     return bytesWrittenBy(
         out -> {
@@ -138,7 +138,7 @@
         });
   }
 
-  /** A read with further fields of its comment, which each begin with a comma. */
+  /** Returns a read whose comment contains further fields, each of which starts with a comma. */
   public static String readStatement(String id, String furtherFields) {
     return "SELECT val FROM state WHERE uid = 'k1' /* id="
         + id
@@ -147,7 +147,7 @@
         + " */";
   }
 
-  /** A write with further fields of its comment, which each begin with a comma. */
+  /** Returns a write whose comment contains further fields, each of which starts with a comma. */
   public static String writeStatement(String id, String furtherFields) {
     return "INSERT INTO state (uid, val) VALUES ('k1', '\\x9f03') RETURNING val /* id="
         + id
@@ -156,7 +156,7 @@
         + " */";
   }
 
-  /** Parses a statement of a client; the caller releases it. */
+  /** Parses a statement, which the caller must release. */
   static SqlStatement parse(String text) throws ProtocolException {
     ByteBuf buffer = buffer(text.getBytes(StandardCharsets.UTF_8));
     try {
@@ -166,36 +166,38 @@
     }
   }
 
-  /** The types of whole messages, an error's with its SQLSTATE: "T D C E(53300) Z". */
+  /** Returns the types of complete messages, with the SQLSTATE of errors: "T D C E(53300) Z". */
   public static String messageTypes(byte[] bytes) {
     StringBuilder types = new StringBuilder();
-    int at = 0;
-    while (at < bytes.length) {
-      char type = (char) bytes[at];
+    int offset = 0;
+    while (offset < bytes.length) {
+      char type = (char) bytes[offset];
       types.append(types.length() == 0 ? "" : " ").append(type);
-      int length = ByteBuffer.wrap(bytes).getInt(at + 1);
+      int length = ByteBuffer.wrap(bytes).getInt(offset + 1);
       if (type == 'E') {
-        String body = new String(bytes, at + 5, length - 4, StandardCharsets.UTF_8);
+        String body = new String(bytes, offset + 5, length - 4, StandardCharsets.UTF_8);
         types.append('(').append(body, body.indexOf("\0C") + 2, body.indexOf("\0M")).append(')');
       }
-      at += 1 + length;
+      offset += 1 + length;
     }
     return types.toString();
   }
 
-  /** Runs the test with the bytes in one piece, byte by byte, and cut in two at every place. */
+  /**
+   * Runs the test with the bytes in one buffer, in single bytes, and split in two at each index.
+   */
   public static void forEachFragmentation(byte[] bytes, Consumer<List<ByteBuf>> test) {
     test.accept(List.of(buffer(bytes)));
-    List<ByteBuf> single = new ArrayList<>();
+    List<ByteBuf> singleBytes = new ArrayList<>();
     for (byte value : bytes) {
-      single.add(buffer(new byte[] {value}));
+      singleBytes.add(buffer(new byte[] {value}));
     }
-    test.accept(single);
-    for (int cut = 1; cut < bytes.length; cut++) {
+    test.accept(singleBytes);
+    for (int splitIndex = 1; splitIndex < bytes.length; splitIndex++) {
       test.accept(
           List.of(
-              buffer(Arrays.copyOf(bytes, cut)),
-              buffer(Arrays.copyOfRange(bytes, cut, bytes.length))));
+              buffer(Arrays.copyOf(bytes, splitIndex)),
+              buffer(Arrays.copyOfRange(bytes, splitIndex, bytes.length))));
     }
   }
 }
