--- a/router/src/main/java/rushwood/protocol/MessageLimits.java
+++ b/router/src/main/java/rushwood/protocol/MessageLimits.java
@@ -12,7 +12,7 @@
   /** The limit of PostgreSQL itself. */
   private static final int MAX_CLIENT_STARTUP_BYTES = 10_000;
 
-  /** A value of 64 KiB takes 128 KiB in hexadecimal; the limit leaves as much again. */
+  /** A value of 64 KiB takes 128 KiB in hexadecimal; the other half of the limit is headroom. */
   private static final int MAX_QUERY_BYTES = 256 << 10;
 
   private static final int EMPTY_MESSAGE_BYTES = 4;
--- a/router/src/main/java/rushwood/protocol/MessageWriter.java
+++ b/router/src/main/java/rushwood/protocol/MessageWriter.java
@@ -45,7 +45,7 @@
     endMessage(out, beginMessage(out, BackendMessageType.EMPTY_QUERY_RESPONSE));
   }
 
-  /** Writes the end of a response, with the status that no transaction is open. */
+  /** Writes the end of a response. Its transaction status is always idle. */
   public static void writeReadyForQuery(ByteBuf out) {
     int lengthIndex = beginMessage(out, BackendMessageType.READY_FOR_QUERY);
     out.writeByte(TRANSACTION_STATUS_IDLE);
--- a/router/src/main/java/rushwood/protocol/SqlState.java
+++ b/router/src/main/java/rushwood/protocol/SqlState.java
@@ -19,7 +19,7 @@
   /** The statement does not have one of the two supported forms. */
   public static final String SYNTAX_ERROR = "42601";
 
-  /** The request was rejected or the connection refused for lack of capacity: not executed. */
+  /** Rejected or refused for lack of capacity; trying again is harmless. */
   public static final String TOO_MANY_CONNECTIONS = "53300";
 
   public static final String QUERY_CANCELED = "57014";
--- a/router/src/main/java/rushwood/protocol/SqlStatement.java
+++ b/router/src/main/java/rushwood/protocol/SqlStatement.java
@@ -23,7 +23,7 @@
  *     client does not name it
  * @param timeout how long the client waits for the response
  * @param lastWriteUnixNanos when the last write of the session was committed, as reported by the
- *     client, as Unix time in nanoseconds; 0 if there was none
+ *     client, as Unix time in nanoseconds; 0 if the client reports none
  */
 public record SqlStatement(
     ByteBuf text,
@@ -65,16 +65,16 @@
         inSession ? key : null,
         group,
         Math.min(earliestArrival + timeout.nanos(), latestDeadline),
-        sinceLastWrite(now),
+        sinceLastWriteNanos(now),
         fingerprint(),
         0);
   }
 
   /**
-   * Returns the nanoseconds since the last write of the session, or 0 if there was none. At least 1
-   * if there was a write.
+   * Returns the nanoseconds since the last write of the session, or 0 if the client reports none.
+   * At least 1 if it reports one.
    */
-  private long sinceLastWrite(long now) {
+  private long sinceLastWriteNanos(long now) {
     return lastWriteUnixNanos == 0 ? 0 : Math.max(1, now - lastWriteUnixNanos);
   }
 
--- a/router/src/test/java/rushwood/protocol/BackendProtocolTest.java
+++ b/router/src/test/java/rushwood/protocol/BackendProtocolTest.java
@@ -140,7 +140,7 @@
     assertReported("MALFORMED", TestMessages.startupResponse());
   }
 
-  /** The body of a message with a malformed header may never arrive. */
+  /** The rest of a message with a malformed header may never arrive. */
   @Test
   void malformedHeadersAreDetectedBeforeTheBodyArrives() {
     assertReported("MALFORMED", new byte[] {'?'});
--- a/router/src/test/java/rushwood/protocol/SqlStatementTest.java
+++ b/router/src/test/java/rushwood/protocol/SqlStatementTest.java
@@ -34,7 +34,7 @@
     assertEquals(
         now + 9,
         statement.toRequest(now, now, now + 9).deadline(),
-        "limited by the latest deadline");
+        "limited by the latest deadline, as during shutdown");
     statement.release();
   }
 
--- a/router/src/test/java/rushwood/protocol/TestMessages.java
+++ b/router/src/test/java/rushwood/protocol/TestMessages.java
@@ -99,12 +99,12 @@
     return message('Q', (text + "\0").getBytes(StandardCharsets.UTF_8));
   }
 
-  public static byte[] startup(int code, String rest) {
+  public static byte[] startup(int code, String payload) {
     return bytesWrittenBy(
         out ->
-            out.writeInt(8 + rest.length())
+            out.writeInt(8 + payload.length())
                 .writeInt(code)
-                .writeCharSequence(rest, StandardCharsets.US_ASCII));
+                .writeCharSequence(payload, StandardCharsets.US_ASCII));
   }
 
   public static byte[] startup() {
