--- a/router/src/main/java/rushwood/api/Request.java
+++ b/router/src/main/java/rushwood/api/Request.java
@@ -44,9 +44,16 @@
     return sinceLastWriteNanos != 0;
   }
 
-  /** The same request, of a client that has waited that long because it was told to. */
-  public Request afterWaiting(long nanos) {
+  /** Returns a copy of this request with another {@link #waitedNanos()}. */
+  public Request withWaited(long newWaitedNanos) {
     return new Request(
-        id, requestClass, session, group, deadline, sinceLastWriteNanos, fingerprint, nanos);
+        id,
+        requestClass,
+        session,
+        group,
+        deadline,
+        sinceLastWriteNanos,
+        fingerprint,
+        newWaitedNanos);
   }
 }
--- a/router/src/main/java/rushwood/api/RequestClass.java
+++ b/router/src/main/java/rushwood/api/RequestClass.java
@@ -52,11 +52,11 @@
     ZONE,
     GROUP;
 
-    /** Whether a key that one of the hosts has seen is known to the other. */
-    public boolean isShared(Endpoint one, Endpoint other) {
+    /** Returns whether each of the two hosts recognizes the idempotency keys of the other. */
+    public boolean includesBoth(Endpoint first, Endpoint second) {
       return this == GLOBAL
-          || (this == GROUP && one.group().equals(other.group()))
-          || (this == ZONE && one.zone().equals(other.zone()));
+          || (this == GROUP && first.group().equals(second.group()))
+          || (this == ZONE && first.zone().equals(second.zone()));
     }
   }
 
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -152,7 +152,7 @@
     }
     requestTracker.requestReceived(request);
     policy.requestReceived(
-        now, advisedWaitNanos > 0 ? request.afterWaiting(advisedWaitNanos) : request);
+        now, advisedWaitNanos > 0 ? request.withWaited(advisedWaitNanos) : request);
   }
 
   @Override
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -91,7 +91,10 @@
     Attempt first = pending.firstPossiblyExecuted();
     return first == null
         || (isSafe(pending, now)
-            && pending.requestClass.keyScope().isShared(first.host.endpoint(), host.endpoint()));
+            && pending
+                .requestClass
+                .keyScope()
+                .includesBoth(first.host.endpoint(), host.endpoint()));
   }
 
   /**
