--- a/router/src/main/java/rushwood/api/AttemptOutcome.java
+++ b/router/src/main/java/rushwood/api/AttemptOutcome.java
@@ -4,25 +4,23 @@
 public enum AttemptOutcome {
   /** The host answered the request. */
   SUCCESS(true, false),
-  /** The host answered with an error. */
+  /** The host answered with an error, which leaves open whether it ran the request. */
   ERROR(true, false),
-  /** The host answered, but what came does not follow the protocol. */
+  /** The host answered, but its response violates the protocol. */
   MALFORMED(true, false),
-  /** The host refused the attempt because it has too much to do. */
+  /** The host refused the attempt because it is overloaded. */
   OVERLOADED(true, true),
-  /**
-   * The host refused a read for which it lags too far behind, or a write because it is a replica.
-   */
+  /** The host refused a read because it lags too far behind, or a write because it is a replica. */
   REPLICA_LAGGING(true, true),
-  /** No answer came in time. */
+  /** No answer arrived within the timeout of the attempt. */
   TIMED_OUT(false, false),
-  /** The connection ended without an answer after the whole statement was written. */
+  /** The connection was lost after the whole statement was written and before an answer. */
   CONNECTION_LOST(false, false),
-  /** The router stopped the attempt. */
+  /** The router cancelled the attempt. */
   CANCELLED(false, false),
   /** No connection to the host could be opened. */
   CONNECT_FAILED(false, true),
-  /** The statement was not, or not wholly, written to any connection. */
+  /** The statement was not written to a connection, or only in part. */
   NOT_SENT(false, true);
 
   private final boolean isHostResponse;
@@ -33,12 +31,12 @@
     this.provesNotExecuted = provesNotExecuted;
   }
 
-  /** Whether the host itself said so. */
+  /** Returns whether the outcome was reported by the host itself. */
   public boolean isHostResponse() {
     return isHostResponse;
   }
 
-  /** Whether this outcome proves that the host never ran the request. */
+  /** Returns whether this outcome proves that the host never ran the request. */
   public boolean provesNotExecuted() {
     return provesNotExecuted;
   }
--- a/router/src/main/java/rushwood/api/Endpoint.java
+++ b/router/src/main/java/rushwood/api/Endpoint.java
@@ -3,9 +3,11 @@
 /**
  * A host as discovery lists it.
  *
- * @param weight the host's capacity in relation to other hosts
- * @param startedAt the clock time at which its process started, 0 for long ago
- * @param primary whether discovery takes it for the primary of its group; it may be late
+ * @param weight the host's capacity relative to other hosts
+ * @param startedAt the clock time in nanoseconds at which the host's process started, 0 if that was
+ *     long ago or is unknown
+ * @param primary whether discovery lists the host as the primary of its group; discovery may be
+ *     late to notice a change of the primary
  */
 public record Endpoint(
     HostId id,
@@ -16,13 +18,13 @@
     boolean primary,
     State state) {
 
-  /** What discovery says of a host. */
+  /** The state of a host in the endpoint list. */
   public enum State {
-    /** It serves. */
+    /** The host serves requests. */
     READY,
-    /** It is about to leave: nothing new may be sent to it. */
+    /** The host is about to leave: no new attempts may be sent to it. */
     DRAINING,
-    /** It is not in the list any more. */
+    /** The host was removed from the list. */
     REMOVED
   }
 }
--- a/router/src/main/java/rushwood/api/GroupId.java
+++ b/router/src/main/java/rushwood/api/GroupId.java
@@ -2,7 +2,7 @@
 
 /** Identifies a group of hosts that hold the same data. */
 public record GroupId(int value) {
-  /** Stands for the group of a host or a request that names none. */
+  /** The group of a host or request for which no group is given. */
   public static final GroupId UNKNOWN = new GroupId(-1);
 
   @Override
--- a/router/src/main/java/rushwood/api/HostRole.java
+++ b/router/src/main/java/rushwood/api/HostRole.java
@@ -1,18 +1,20 @@
 package rushwood.api;
 
-/** What a host says of its role in its group. */
+/** The role of a host in its group, as the host reports it. */
 public enum HostRole {
+  /** The host takes writes. */
   PRIMARY,
+  /** The host follows the primary and refuses writes. */
   REPLICA,
-  /** The host has said nothing of its role. */
+  /** The host has not reported its role. */
   UNKNOWN;
 
-  /** The role of a host that says whether it is the primary. */
+  /** Returns {@link #PRIMARY} or {@link #REPLICA}. */
   public static HostRole of(boolean isPrimary) {
     return isPrimary ? PRIMARY : REPLICA;
   }
 
-  /** Whether the host has said which role it has. */
+  /** Returns whether the host has reported its role. */
   public boolean isKnown() {
     return this != UNKNOWN;
   }
--- a/router/src/main/java/rushwood/api/LogLevel.java
+++ b/router/src/main/java/rushwood/api/LogLevel.java
@@ -4,8 +4,8 @@
 public enum LogLevel {
   /** A normal change, such as a new primary or the end of a fault. */
   INFO,
-  /** A fault outside of the router that it copes with, such as an ejected host. */
+  /** A fault outside the router that the router copes with, such as an ejected host. */
   WARN,
-  /** A fault of the router itself, or one that keeps it from serving. */
+  /** A fault of the router itself, or a fault that keeps it from serving. */
   ERROR
 }
--- a/router/src/main/java/rushwood/api/OverloadSignals.java
+++ b/router/src/main/java/rushwood/api/OverloadSignals.java
@@ -1,40 +1,48 @@
 package rushwood.api;
 
 /**
- * What overload control tells the routing policy: Retry-After times and retry budgets. The policy
- * still chooses which request is rejected, retried or sent. Asked on the thread that calls the
- * policy; {@code now} is a clock time in nanoseconds.
+ * Advice of overload control to the routing policy: Retry-After times, retry budgets and connect
+ * backoff. The policy still chooses which requests are sent, retried or rejected.
+ *
+ * <p>All methods are called on the thread that calls the policy. {@code now} is a clock time in
+ * nanoseconds.
  */
 public interface OverloadSignals {
   /**
-   * The Retry-After for the client of a request that is rejected now, in nanoseconds, 0 for none.
+   * Returns the Retry-After time in nanoseconds for a request that is rejected now, 0 for none.
+   * Must be called once for each rejected request, because each call is counted as a rejection and
+   * may reserve a time for the client's next try.
    *
-   * @param othersWaiting whether requests of the same group are waiting for a slot
+   * @param othersWaiting whether other requests of the same group are waiting for a slot
    */
   long retryAfterNanos(long now, Request request, boolean othersWaiting);
 
   /**
-   * Whether the retry budget of the group allows a retry after an attempt that cost its host work.
+   * Returns whether the retry budget of the group allows a retry after an attempt that cost its
+   * host work.
    */
   boolean canRetry(long now, GroupId group);
 
   /**
-   * An attempt was sent.
+   * Records that an attempt was sent.
    *
-   * @param isCostlyRetry whether it follows an attempt of the same request that cost its host work
+   * @param isCostlyRetry whether the attempt retries one that cost its host work
    */
   void attemptSent(long now, GroupId group, boolean isCostlyRetry);
 
-  /** Whether the connect backoff allows a new connection to that host now. */
+  /** Returns whether the connect backoff allows a new connection to the host now. */
   boolean canConnect(long now, HostId host);
 
   /**
-   * How long an answer may lately have taken to leave the router once its time had come, in
-   * nanoseconds: the router gets too little processor time.
+   * Returns by how many nanoseconds timers of the router have run late recently, 0 if not at all. A
+   * router that gets too little processor time answers its clients late by as much.
    */
   long answerDelayNanos();
 
-  /** Without overload control: the longest Retry-After while others wait, and no budgets. */
+  /**
+   * Returns the signals of a router without overload control: the longest Retry-After time while
+   * other requests wait, and no limits on retries and connections.
+   */
   static OverloadSignals withoutOverloadControl(RoutingSettings settings) {
     return new OverloadSignals() {
       @Override
--- a/router/src/main/java/rushwood/api/PeerId.java
+++ b/router/src/main/java/rushwood/api/PeerId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Names another router of the same tier. */
+/** Identifies another router of the same tier. */
 public record PeerId(int value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/PolicyActions.java
+++ b/router/src/main/java/rushwood/api/PolicyActions.java
@@ -1,45 +1,53 @@
 package rushwood.api;
 
 /**
- * What a routing policy can order. A policy calls these methods on the thread that calls the policy
- * and only from within such a call; no method calls the policy back before it returns. Durations
- * are in nanoseconds.
+ * The actions that a routing policy can take.
+ *
+ * <p>A policy calls these methods only while it handles an event of {@link RoutingPolicy}, on the
+ * thread that delivered the event. No method calls the policy back before it returns.
  */
 public interface PolicyActions {
   /**
-   * Sends an attempt at a request to a host; {@link RoutingPolicy#attemptFinished} reports its end.
+   * Sends an attempt at a request to a host; {@link RoutingPolicy#attemptFinished} reports its
+   * result.
    *
-   * @param timeoutNanos the attempt ends as {@link AttemptOutcome#TIMED_OUT} after that time
-   * @param startWithinNanos if it cannot be written to the host within that time, it ends as {@link
-   *     AttemptOutcome#NOT_SENT}
+   * @param timeoutNanos the time after which an attempt without an answer ends as {@link
+   *     AttemptOutcome#TIMED_OUT}
+   * @param startWithinNanos the time after which an attempt that could not be written to the host
+   *     ends as {@link AttemptOutcome#NOT_SENT}
    */
   void send(RequestId request, HostId host, long timeoutNanos, long startWithinNanos);
 
   /**
-   * Stops an attempt that is in flight; it still ends with {@link RoutingPolicy#attemptFinished}.
+   * Cancels an attempt that is in flight. Its result is still reported to {@link
+   * RoutingPolicy#attemptFinished}. Allowed only with {@link RoutingSettings#canCancel()}.
    *
-   * @param attemptNumber the number of the attempt among those of its request, from 0
+   * @param attemptNumber the number of the attempt among the attempts of its request, from 0
    */
   void cancel(RequestId request, int attemptNumber);
 
   /**
-   * Gives the final answer that trying again is harmless: the request ran nowhere, or is
-   * idempotent.
+   * Sends the client the final answer that trying again is harmless, because no host ran the
+   * request or because it is idempotent.
    *
-   * @param retryAfterNanos how long the client is told to wait before, 0 for no such hint
+   * @param retryAfterNanos the Retry-After time that the client is told, 0 for none
    */
   void reject(RequestId request, long retryAfterNanos);
 
-  /** Gives the final answer that leaves open whether the request ran. */
+  /** Sends the client the final answer that leaves open whether a host ran the request. */
   void fail(RequestId request);
 
-  /** Asks a host for a load report; {@link RoutingPolicy#healthCheckFinished} has the result. */
+  /** Starts a health check; {@link RoutingPolicy#healthCheckFinished} reports its result. */
   void checkHealth(HostId host);
 
-  /** Asks for {@link RoutingPolicy#timerFired} at a clock time; replaces an earlier one. */
+  /**
+   * Schedules a call of {@link RoutingPolicy#timerFired}, in place of any that is still scheduled.
+   *
+   * @param time the clock time of the call, in nanoseconds
+   */
   void wakeAt(long time);
 
-  /** Asks for the endpoint list, and for its changes from then on. */
+  /** Requests the endpoint list and, from then on, its changes. */
   void subscribeToEndpoints();
 
   /** Writes a line to the log: what happened, to which host or group, and why. */
--- a/router/src/main/java/rushwood/api/Request.java
+++ b/router/src/main/java/rushwood/api/Request.java
@@ -3,15 +3,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One read or write that a client asks for.
+ * A read or write that a client requests.
  *
- * @param session the session whose writes the request has to see, null if there is none
- * @param deadline the clock time at which the client stops waiting
- * @param sinceLastWriteNanos the time since the last commit of the session as its client knows it,
- *     0 if there was none
- * @param fingerprint the same for all tries of the same request, as far as key and class tell, 0 if
- *     they do not
- * @param waitedNanos how long its client has stayed away because a Retry-After told it to
+ * @param session the session whose writes the request has to see, null if it belongs to no session
+ * @param deadline the clock time in nanoseconds at which the client stops waiting for an answer
+ * @param sinceLastWriteNanos the time since the last commit of the session that its client knows
+ *     of, 0 if it knows of none
+ * @param fingerprint a hash of the request's key and class, which all tries of the request have in
+ *     common; 0 if there is none
+ * @param waitedNanos the Retry-After time that the client has waited before this try, 0 if none
  */
 public record Request(
     RequestId id,
@@ -23,7 +23,7 @@
     long fingerprint,
     long waitedNanos) {
 
-  /** A request without a fingerprint whose client was not told to wait. */
+  /** Creates a request without a fingerprint, whose client was not told to wait. */
   public Request(
       RequestId id,
       RequestClass requestClass,
@@ -34,12 +34,12 @@
     this(id, requestClass, session, group, deadline, sinceLastWriteNanos, 0, 0);
   }
 
-  /** Whether the fingerprint tells the tries of this request from other requests. */
+  /** Returns whether the request has a fingerprint, by which its tries can be recognised. */
   public boolean hasFingerprint() {
     return fingerprint != 0;
   }
 
-  /** Whether the client knows of an earlier commit of the session. */
+  /** Returns whether the client knows of an earlier commit of the session. */
   public boolean hasLastWrite() {
     return sinceLastWriteNanos != 0;
   }
--- a/router/src/main/java/rushwood/api/RequestClass.java
+++ b/router/src/main/java/rushwood/api/RequestClass.java
@@ -4,18 +4,21 @@
 import java.util.Optional;
 
 /**
- * The kind of a request, as the settings define it.
+ * A class of requests with the same requirements, as the settings define it.
  *
- * @param index the place of the class in the settings, from 0
+ * @param index the position of the class in the settings, from 0
  * @param latencyObjectiveNanos the time within which an answer has its full value
- * @param idempotencyWindowNanos how long an idempotency key is recognised; counts only for {@link
+ * @param idempotency whether hosts may run a request of this class more than once
+ * @param keyScope the hosts among which an idempotency key is recognised
+ * @param idempotencyWindowNanos how long an idempotency key is recognised; used only with {@link
  *     Idempotency#IDEMPOTENCY_KEY}
- * @param isWrite whether its requests change data; only the primary takes them
+ * @param isWrite whether requests of this class change data, so that only a primary takes them
  * @param consistency how fresh the data of a read has to be; {@link Consistency#EVENTUAL} for
  *     writes
- * @param maxStalenessNanos how old the data may be; counts only for {@link
+ * @param maxStalenessNanos how old the data may be; used only with {@link
  *     Consistency#BOUNDED_STALENESS}
- * @param lateValue the share of its value that an answer after the latency objective still has
+ * @param lateValue the share of its full value that an answer has after the latency objective, 0 if
+ *     it is worthless then
  */
 public record RequestClass(
     String name,
@@ -29,30 +32,33 @@
     long maxStalenessNanos,
     double lateValue) {
 
-  /** The class of that name, if there is one. */
+  /** Returns the class with the given name, if there is one. */
   public static Optional<RequestClass> findByName(List<RequestClass> requestClasses, String name) {
     return requestClasses.stream()
         .filter(requestClass -> requestClass.name().equals(name))
         .findFirst();
   }
 
-  /** Whether a request may run more than once. */
+  /** Whether hosts may run a request more than once. */
   public enum Idempotency {
-    /** It may run any number of times. */
+    /** The request may run any number of times. */
     IDEMPOTENT,
-    /** It may be repeated within the scope and the window of its key. */
+    /** The request may be repeated on hosts that still recognise its idempotency key. */
     IDEMPOTENCY_KEY,
-    /** It must not run twice. */
+    /** The request must not run twice. */
     NON_IDEMPOTENT
   }
 
-  /** Among which hosts an idempotency key is recognised. */
+  /** The hosts among which an idempotency key is recognised. */
   public enum KeyScope {
+    /** All hosts. */
     GLOBAL,
+    /** The hosts of one zone. */
     ZONE,
+    /** The hosts of one group. */
     GROUP;
 
-    /** Returns whether each of the two hosts recognizes the idempotency keys of the other. */
+    /** Returns whether each of the two hosts recognises a key that the other one has seen. */
     public boolean includesBoth(Endpoint first, Endpoint second) {
       return this == GLOBAL
           || (this == GROUP && first.group().equals(second.group()))
@@ -62,11 +68,11 @@
 
   /** How fresh the data that answers a read has to be. */
   public enum Consistency {
-    /** As of the arrival of the request. */
+    /** At least as fresh as when the request arrived. */
     STRONG,
-    /** Not older than the last write of the same session. */
+    /** At least as fresh as the last write of the same session. */
     READ_YOUR_WRITES,
-    /** Not older than a bound. */
+    /** Not older than {@link RequestClass#maxStalenessNanos()}. */
     BOUNDED_STALENESS,
     /** Of any age. */
     EVENTUAL
--- a/router/src/main/java/rushwood/api/RequestId.java
+++ b/router/src/main/java/rushwood/api/RequestId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Identifies a request; each request of a client has a new one. */
+/** Identifies a request; clients send a new id with every request. */
 public record RequestId(String value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/RoutingPolicy.java
+++ b/router/src/main/java/rushwood/api/RoutingPolicy.java
@@ -3,61 +3,67 @@
 import java.util.List;
 
 /**
- * Chooses hosts, retries and rejections for the requests of one router.
+ * Decides for the requests of one router which host gets them, when they are retried and when they
+ * are rejected.
  *
- * <p>Thread: a policy is not synchronized. All calls come from the router's event loop (in the
- * simulator from its only thread), one at a time and never from within another call. Time: {@code
- * now} is a clock time in nanoseconds that never goes back. What the policy decides leaves through
- * the {@link PolicyActions} that it was created with, before the call returns. A call throws only
- * for a fault of the program.
+ * <p>Each method delivers an event. The policy carries out its decisions through the {@link
+ * PolicyActions} that it was created with, before the method returns. A method throws only because
+ * of a programming error.
+ *
+ * <p>Policies are not thread-safe. All methods are called on the router's event loop, or on the
+ * only thread of the simulator, and never from within another call. {@code now} is a clock time in
+ * nanoseconds that never decreases from one call to the next.
  */
 public interface RoutingPolicy {
   /**
-   * A complete endpoint list was received: hosts that it does not contain are removed.
+   * A complete endpoint list was received. With {@link RoutingSettings#isRemovalBinding()}, hosts
+   * that it does not contain are removed.
    *
-   * @param fromCache whether this is the list that the router held before it started
+   * @param fromCache whether this is the list that the router held before it was restarted, instead
+   *     of one from discovery
    */
   void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache);
 
   /**
-   * Single endpoints changed.
+   * Some endpoints were added, changed or removed.
    *
-   * @param changes the changed endpoints; empty where the router moves to another discovery agent
+   * @param changes the new state of these endpoints; may be empty
    */
   void endpointsUpdated(long now, List<Endpoint> changes);
 
-  /** A poll of the endpoint list failed, or its watch ended. */
+  /** Fetching the endpoint list failed, or the subscription to its changes ended. */
   void endpointRefreshFailed(long now);
 
-  /** A client sent a request. Its id must be new; its group may be unknown. */
+  /** A client sent a request. Its id must be new. No host of its group needs to be known. */
   void requestReceived(long now, Request request);
 
   /**
-   * An attempt that the policy sent has ended. Every attempt ends exactly once, also one that was
-   * cancelled.
+   * An attempt ended. This is reported exactly once for every attempt that the policy sent,
+   * including cancelled ones.
    *
    * @throws IllegalArgumentException if the policy sent no such attempt
    */
   void attemptFinished(long now, AttemptResult result);
 
-  /** The client of a request disconnected or cancelled it: no answer is owed any more. */
+  /** The client disconnected or cancelled the request, which needs no answer any more. */
   void clientDisconnected(long now, RequestId request);
 
   /**
-   * The router shuts down.
+   * The router has begun to shut down.
    *
-   * @param lastAnswerTime every pending request has to be answered before that clock time
+   * @param lastAnswerTime the clock time in nanoseconds before which the policy has to give every
+   *     pending request its final answer
    */
   void shuttingDown(long now, long lastAnswerTime);
 
   /**
-   * A health check that the policy asked for has ended.
+   * A health check that the policy started has ended.
    *
-   * @param answered whether the host answered it in time
-   * @param report what the host reported; {@link LoadReport#NONE} without an answer
+   * @param answered whether the host answered the health check in time
+   * @param report what the host reported; {@link LoadReport#NONE} if it did not answer
    */
   void healthCheckFinished(long now, HostId host, boolean answered, LoadReport report);
 
-  /** A time that the policy asked for with {@link PolicyActions#wakeAt} has come. */
+  /** The clock time that the policy passed to {@link PolicyActions#wakeAt} has been reached. */
   void timerFired(long now);
 }
--- a/router/src/main/java/rushwood/api/RoutingSettings.java
+++ b/router/src/main/java/rushwood/api/RoutingSettings.java
@@ -5,22 +5,27 @@
 /**
  * The settings that the routing policy reads, decoded once at start.
  *
- * @param routerCount how many routers serve the same hosts
- * @param subscribesToEndpoints whether the router has to subscribe to the endpoint list itself
- * @param hasLoadReports whether hosts report positions and roles
- * @param tracksSessionWrites whether the router, not the client, remembers a session's last write
+ * @param routerCount the number of routers that send requests to the same hosts
+ * @param subscribesToEndpoints whether the policy has to subscribe to the endpoint list; otherwise
+ *     the list and its changes are delivered without a subscription
+ * @param laggingReadBehavior what a host does with a read for which it lags too far behind
+ * @param hasLoadReports whether hosts send load reports
+ * @param tracksSessionWrites whether the router remembers the last write of each session; otherwise
+ *     requests carry the time since it, see {@link Request#sinceLastWriteNanos()}
  * @param hasHealthChecks whether hosts answer health checks
- * @param canCancel whether hosts can be told to stop an attempt
- * @param canSendRetryAfter whether rejected clients may be told when to come back
- * @param maxRetryAfterNanos the longest that they may be told to wait
- * @param maxAttempts the most attempts of one request
- * @param clockResolutionNanos how late timers may fire
- * @param isRemovalBinding whether a host that discovery removes may not be used any more
- * @param coldStartShare the share of its capacity that a host has right after it started
- * @param warmupNanos how long a host takes to reach its full capacity
- * @param collapseMultiple the multiple of its current capacity at which a cold host collapses
- * @param collapseWindowNanos the time over which that load is measured
- * @param refreshWithinNanos within which time a failed request for the endpoint list is repeated
+ * @param canCancel whether an attempt in flight can be cancelled
+ * @param canSendRetryAfter whether clients may be told a Retry-After time
+ * @param maxRetryAfterNanos the longest Retry-After time that clients may be told
+ * @param maxAttempts the maximum number of attempts at a request
+ * @param clockResolutionNanos the resolution of the clock, by which timers may fire late
+ * @param isRemovalBinding whether a host must not be used once discovery has removed it
+ * @param coldStartShare the share of its full capacity that a host has when its process starts
+ * @param warmupNanos the time that a host takes from its start to its full capacity
+ * @param collapseMultiple the load at which a host that is not warm collapses, as a multiple of its
+ *     current capacity
+ * @param collapseWindowNanos the time over which the load in {@code collapseMultiple} is measured
+ * @param refreshWithinNanos the time within which the endpoint list has to be requested again after
+ *     a failure
  */
 public record RoutingSettings(
     int routerCount,
@@ -44,20 +49,23 @@
 
   /** What a host does with a read for which it lags too far behind. */
   public enum LaggingReadBehavior {
-    /** It answers with stale data. */
+    /** The host answers with stale data. */
     SERVES,
-    /** It rejects the read. */
+    /** The host refuses the read. */
     REJECTS,
-    /** It lets the read wait until it has caught up. */
+    /** The host answers once it has caught up. */
     WAITS
   }
 
-  /** Starts with nothing allowed, no classes and zero everywhere. */
+  /**
+   * Returns a builder with no request classes, hosts that answer with stale data, and every other
+   * setting false or 0.
+   */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the settings by name; each method sets the component of that name. */
+  /** Builds {@link RoutingSettings}. Each method sets the component of the same name. */
   public static final class Builder {
     private int routerCount;
     private List<RequestClass> requestClasses = List.of();
@@ -188,7 +196,7 @@
       return this;
     }
 
-    /** Creates the settings. */
+    /** Returns settings with the values set so far. */
     public RoutingSettings build() {
       return new RoutingSettings(
           routerCount,
--- a/router/src/main/java/rushwood/api/Times.java
+++ b/router/src/main/java/rushwood/api/Times.java
@@ -1,8 +1,8 @@
 package rushwood.api;
 
-/** Clock times with a meaning of their own, in nanoseconds. */
+/** Special clock times, in nanoseconds. */
 public final class Times {
-  /** Before any clock time, yet so far from the lowest value that differences do not overflow. */
+  /** A time before every clock time; subtracting it from a clock time does not overflow. */
   public static final long LONG_AGO = Long.MIN_VALUE / 2;
 
   private Times() {}
--- a/router/src/main/java/rushwood/api/ZoneId.java
+++ b/router/src/main/java/rushwood/api/ZoneId.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Identifies a zone, in which hosts may fail together. */
+/** Identifies a zone; the hosts of a zone may fail together. */
 public record ZoneId(String value) {
   @Override
   public String toString() {
--- a/router/src/main/java/rushwood/api/package-info.java
+++ b/router/src/main/java/rushwood/api/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The interface of the routing policy and its value types; it depends on no other package.
+ * The interface of the routing policy and its value types. This package depends on no other one.
  *
- * <p>{@link rushwood.api.RoutingPolicy} has the events that a policy is told, {@link
- * rushwood.api.PolicyActions} what it can order, {@link rushwood.api.RoutingSettings} its settings,
- * and {@link rushwood.api.OverloadSignals} what it can ask of overload control.
+ * <p>A {@link rushwood.api.RoutingPolicy} receives events, acts through {@link
+ * rushwood.api.PolicyActions}, is configured by {@link rushwood.api.RoutingSettings}, and takes
+ * advice of overload control from {@link rushwood.api.OverloadSignals}.
  */
 @NullMarked
 package rushwood.api;
--- a/router/src/test/java/rushwood/api/NoPolicyActions.java
+++ b/router/src/test/java/rushwood/api/NoPolicyActions.java
@@ -1,6 +1,6 @@
 package rushwood.api;
 
-/** Actions that do nothing; a test overrides those that it looks at. */
+/** Policy actions that do nothing; tests override the ones that they observe. */
 public class NoPolicyActions implements PolicyActions {
   @Override
   public void send(RequestId request, HostId host, long timeoutNanos, long startWithinNanos) {}
--- a/router/src/test/java/rushwood/api/RequestClassFixture.java
+++ b/router/src/test/java/rushwood/api/RequestClassFixture.java
@@ -4,11 +4,11 @@
 import rushwood.api.RequestClass.Idempotency;
 import rushwood.api.RequestClass.KeyScope;
 
-/** Request classes that tests of several packages need. */
+/** Request classes for tests of several packages. */
 public final class RequestClassFixture {
   private RequestClassFixture() {}
 
-  /** Idempotent reads that any member may answer; late answers have no value. */
+  /** Returns a class of idempotent reads that any host may answer; late answers are worthless. */
   public static RequestClass eventualRead(String name, int index, long latencyObjectiveNanos) {
     return new RequestClass(
         name,
