--- a/router/src/main/java/rushwood/config/DecimalSeconds.java
+++ b/router/src/main/java/rushwood/config/DecimalSeconds.java
@@ -1,20 +1,27 @@
 package rushwood.config;
 
-/** Conversion between seconds written as decimals and whole nanoseconds. */
+/** Converts between times in decimal seconds, as text, and times in whole nanoseconds. */
 public final class DecimalSeconds {
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long NANOS_PER_MICRO = 1000;
   private static final long MICROS_PER_SECOND = 1_000_000;
-  private static final int MAX_PLAIN_LENGTH = 17; // of a text whose digits fit a long
-  private static final long MAX_PLAIN_SECONDS = 9_000_000_000L; // as nanoseconds they fit a long
+
+  /** The longest text that is parsed digit by digit: so many digits always fit into a long. */
+  private static final int MAX_EXACT_LENGTH = 17;
+
+  /** The most seconds that are converted exactly: in nanoseconds they still fit into a long. */
+  private static final long MAX_EXACT_SECONDS = 9_000_000_000L;
 
   private DecimalSeconds() {}
 
   /**
-   * Parses seconds into nanoseconds. Plain decimals are converted exactly, digits beyond the ninth
-   * of the fraction cut off; any other notation of a number goes through a {@code double}.
+   * Parses a time in seconds and returns it in nanoseconds.
+   *
+   * <p>Plain decimals are converted exactly, except that digits after the ninth decimal place are
+   * dropped. Other notations, and numbers too long or too large for that, are converted by way of a
+   * {@code double}.
    *
-   * @throws NumberFormatException if the text is no finite number
+   * @throws NumberFormatException if the text is not a finite number
    */
   public static long parseNanos(String text) {
     int length = text.length();
@@ -24,7 +31,7 @@
     long fractionNanos = 0;
     long digitNanos = NANOS_PER_SECOND;
     boolean inFraction = false;
-    boolean isPlain = firstDigit < length && length <= MAX_PLAIN_LENGTH;
+    boolean isPlain = firstDigit < length && length <= MAX_EXACT_LENGTH;
     for (int i = firstDigit; isPlain && i < length; i++) {
       char c = text.charAt(i);
       if (c == '.' && !inFraction) {
@@ -38,7 +45,7 @@
         seconds = seconds * 10 + (c - '0');
       }
     }
-    if (!isPlain || seconds > MAX_PLAIN_SECONDS) {
+    if (!isPlain || seconds > MAX_EXACT_SECONDS) {
       return Math.round(parseNumber(text) * NANOS_PER_SECOND);
     }
     long nanos = seconds * NANOS_PER_SECOND + fractionNanos;
@@ -48,7 +55,7 @@
   /**
    * Parses a finite number.
    *
-   * @throws NumberFormatException if the text is none
+   * @throws NumberFormatException if the text is not a finite number
    */
   public static double parseNumber(String text) {
     double value = Double.parseDouble(text);
@@ -58,7 +65,7 @@
     return value;
   }
 
-  /** Appends a time as seconds with six decimals, rounded up to the microsecond. */
+  /** Appends a time in seconds with six decimal places, rounded up to whole microseconds. */
   public static void appendSeconds(StringBuilder out, long nanos) {
     long micros = Math.floorDiv(nanos + NANOS_PER_MICRO - 1, NANOS_PER_MICRO);
     if (micros < 0) {
--- a/router/src/main/java/rushwood/config/InvalidConfigException.java
+++ b/router/src/main/java/rushwood/config/InvalidConfigException.java
@@ -1,6 +1,6 @@
 package rushwood.config;
 
-/** A setting that cannot be used. */
+/** Thrown if a configuration cannot be read, or a setting in it is missing or invalid. */
 public final class InvalidConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -13,17 +13,17 @@
     this.reason = reason;
   }
 
-  /** Returns the path of the field in its file, or the name of an environment variable. */
+  /** Returns the path of the field in its file, or the name of the environment variable. */
   public String field() {
     return field;
   }
 
-  /** Returns what is wrong with the field, as the rest of a sentence that begins with it. */
+  /** Returns what is wrong with the field, such as {@code is missing}. */
   public String reason() {
     return reason;
   }
 
-  /** Returns one line: the field, a space and the reason. */
+  /** Returns the field, a space and the reason, in one line. */
   @Override
   public String getMessage() {
     return field + " " + reason;
--- a/router/src/main/java/rushwood/config/JsonFlattener.java
+++ b/router/src/main/java/rushwood/config/JsonFlattener.java
@@ -6,17 +6,23 @@
 import java.util.Map;
 
 /**
- * Turns nested JSON into pairs of path and value, as the simulator sends settings.
+ * Flattens nested JSON into pairs of path and value, the form in which the simulator sends
+ * settings:
  *
- * <p>Fields of an object are joined by dots. A list of plain values becomes one value with commas
- * between them; a list of objects becomes {@code path.0.field}, {@code path.1.field} and so on,
- * with their number in {@code path.count}.
+ * <ul>
+ *   <li>The path of a nested field consists of the field names, joined by dots.
+ *   <li>An array of primitives becomes one value, the elements joined by commas.
+ *   <li>An array of objects becomes {@code path.0.field}, {@code path.1.field} and so on, and
+ *       {@code path.count} for the number of elements.
+ *   <li>Fields that are null are left out.
+ * </ul>
  */
 final class JsonFlattener {
   private final Map<String, String> values = new LinkedHashMap<>();
 
   private JsonFlattener() {}
 
+  /** Returns the values by path, in the order of the document. */
   static Map<String, String> flatten(JsonElement json) {
     JsonFlattener flattener = new JsonFlattener();
     flattener.add("", json);
--- a/router/src/main/java/rushwood/config/JsonSection.java
+++ b/router/src/main/java/rushwood/config/JsonSection.java
@@ -5,28 +5,30 @@
 import java.util.List;
 
 /**
- * An object of the operator's settings whose fields are all optional. Each method throws an {@link
- * InvalidConfigException} if the field is of another type.
+ * A JSON object in the operator's settings, all of whose fields are optional. The accessors return
+ * a default for a missing field, and throw an {@link InvalidConfigException} if the field has
+ * another type.
  *
- * @param prefix precedes the field's name in errors: empty, or the object's own path and a dot
+ * @param prefix the text before a field's name in error messages: empty for the root object,
+ *     otherwise the path of the object and a dot
  * @param json the object
  */
 record JsonSection(String prefix, JsonObject json) {
 
-  /** Throws for the first field that is not one of {@code fields}. */
-  void rejectUnknownFields(List<String> fields) throws InvalidConfigException {
+  /** Throws an exception for the first field whose name is not in {@code knownFields}. */
+  void rejectUnknownFields(List<String> knownFields) throws InvalidConfigException {
     for (String field : json.keySet()) {
-      if (!fields.contains(field)) {
-        throw invalid(field, "is no setting");
+      if (!knownFields.contains(field)) {
+        throw invalid(field, "is not a known setting");
       }
     }
   }
 
-  /** Returns the object of that name, an empty one if there is none. */
+  /** Returns the nested object of the given name, or an empty one if it is missing. */
   JsonSection section(String field) throws InvalidConfigException {
     JsonElement value = json.get(field);
     if (value != null && !value.isJsonObject()) {
-      throw invalid(field, "is no object");
+      throw invalid(field, "is not an object");
     }
     JsonObject object = value == null ? new JsonObject() : value.getAsJsonObject();
     return new JsonSection(prefix + field + ".", object);
@@ -38,7 +40,7 @@
       return defaultValue;
     }
     if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isString()) {
-      throw invalid(field, "is no text");
+      throw invalid(field, "is not a string");
     }
     return value.getAsString();
   }
@@ -54,7 +56,7 @@
     return value.getAsBoolean();
   }
 
-  /** Returns a number from 0 to {@code max}. */
+  /** Returns a number from 0 to {@code max}, which must be a whole number. */
   double number(String field, double defaultValue, double max) throws InvalidConfigException {
     JsonElement value = json.get(field);
     if (value == null) {
@@ -62,11 +64,12 @@
     }
     boolean isNumber = value.isJsonPrimitive() && value.getAsJsonPrimitive().isNumber();
     if (!isNumber || !(value.getAsDouble() >= 0 && value.getAsDouble() <= max)) {
-      throw invalid(field, "is no number from 0 to " + (long) max);
+      throw invalid(field, "is not a number from 0 to " + (long) max);
     }
     return value.getAsDouble();
   }
 
+  /** Returns an exception that names the field with its path. */
   InvalidConfigException invalid(String field, String reason) {
     return new InvalidConfigException(prefix + field, reason);
   }
--- a/router/src/main/java/rushwood/config/OperatorSettings.java
+++ b/router/src/main/java/rushwood/config/OperatorSettings.java
@@ -13,11 +13,12 @@
 import rushwood.overload.OverloadSettings;
 
 /**
- * The settings that the operator owns. {@code deploy/rushwood.schema.json} describes their file.
+ * The settings that the operator controls. The schema of their file is {@code
+ * deploy/rushwood.schema.json}.
  *
- * @param overload what overload control does
- * @param jsonLogFile the file that gets each log line as JSON; empty for plain lines on standard
- *     output
+ * @param overload the settings of overload control
+ * @param jsonLogFile the file that log lines are written to as JSON; empty if they are written to
+ *     standard output as text
  */
 public record OperatorSettings(OverloadSettings overload, Optional<String> jsonLogFile) {
   private static final String FILE_VARIABLE = "RUSHWOOD_SETTINGS";
@@ -26,13 +27,14 @@
   private static final double MAX_RETRIES_PER_FIRST_ATTEMPT = 10;
   private static final double MAX_RETRIES_PER_SECOND_FLOOR = 1e6;
 
-  /** The settings of a start without a file. */
+  /** The settings that are used if there is no file. */
   public static final OperatorSettings DEFAULTS =
       new OperatorSettings(OverloadSettings.DEFAULT, Optional.empty());
 
   /**
-   * Reads the file that {@code RUSHWOOD_SETTINGS} names, else {@code deploy/rushwood.json} below
-   * the working directory if there is one, else returns the defaults.
+   * Reads the file that the environment variable {@code RUSHWOOD_SETTINGS} names. If it is not set,
+   * reads {@code deploy/rushwood.json} below the working directory; if there is no such file,
+   * returns {@link #DEFAULTS}.
    *
    * @throws InvalidConfigException if the file cannot be read, or for its first invalid field
    */
@@ -53,8 +55,8 @@
     JsonObject json;
     try {
       json = JsonParser.parseString(text).getAsJsonObject();
-    } catch (JsonParseException | IllegalStateException e) { // no JSON, or JSON but no object
-      throw new InvalidConfigException("rushwood.json", "is no JSON object");
+    } catch (JsonParseException | IllegalStateException e) { // not JSON, or not an object
+      throw new InvalidConfigException("rushwood.json", "is not a JSON object");
     }
     JsonSection root = new JsonSection("", json);
     root.rejectUnknownFields(List.of("storm", "log"));
@@ -79,8 +81,9 @@
   }
 
   /**
-   * Decodes the file of the structured log. The logging library must be able to seek in it, so that
-   * standard output cannot be one.
+   * Decodes the name of the JSON log file; empty for the text format. JSON lines always go to a
+   * file, because the logging library seeks in its output, which is not possible on standard
+   * output.
    */
   private static Optional<String> decodeJsonLogFile(JsonSection log) throws InvalidConfigException {
     String format = log.text("format", "lines");
@@ -92,7 +95,7 @@
       throw log.invalid("file", "is missing");
     }
     if (format.equals("lines") && !file.isEmpty()) {
-      throw log.invalid("file", "goes with the format json only");
+      throw log.invalid("file", "is allowed only with the format json");
     }
     return file.isEmpty() ? Optional.empty() : Optional.of(file);
   }
--- a/router/src/main/java/rushwood/config/RequestClassDecoder.java
+++ b/router/src/main/java/rushwood/config/RequestClassDecoder.java
@@ -8,16 +8,16 @@
 import rushwood.api.RequestClass.KeyScope;
 
 /**
- * Decodes the request classes: {@code classes.0.name} and so on, with consistency and staleness in
- * lists of their own that have an element for each class.
+ * Decodes the request classes. Most of their fields have paths such as {@code classes.0.name};
+ * consistency and staleness are comma-separated lists with an element for each class.
  */
 final class RequestClassDecoder {
   private static final String CLASS_COUNT = "classes.count";
   private static final String CONSISTENCY_BY_CLASS = "domain.needs_by_class";
   private static final String STALENESS_BY_CLASS = "domain.lag_allowed";
 
-  /** Stands among the consistency words of the classes and marks a class of writes. */
-  private static final String WRITE_WORD = "update";
+  /** The element of the consistency list that marks a class of writes. */
+  private static final String WRITE_CONSISTENCY = "update";
 
   private final SettingsValues values;
 
@@ -25,19 +25,19 @@
     this.values = values;
   }
 
-  /** Decodes the classes in their order. */
+  /** Decodes all classes, in the order of the settings. */
   List<RequestClass> decode() throws InvalidConfigException {
-    String[] consistencyWords = values.textOr(CONSISTENCY_BY_CLASS, "").split(",");
+    String[] consistencyNames = values.textOr(CONSISTENCY_BY_CLASS, "").split(",");
     String[] stalenessTexts = values.textOr(STALENESS_BY_CLASS, "").split(",");
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < classCount(); i++) {
       classes.add(
-          requestClass(i, elementOrEmpty(consistencyWords, i), elementOrEmpty(stalenessTexts, i)));
+          requestClass(i, elementOrEmpty(consistencyNames, i), elementOrEmpty(stalenessTexts, i)));
     }
     return classes;
   }
 
-  /** Returns the longest time that clients of any class wait for an answer, in nanoseconds. */
+  /** Returns the longest timeout of any class in nanoseconds, 0 if there are no classes. */
   long maxRequestTimeoutNanos() throws InvalidConfigException {
     long longest = 0;
     for (int i = 0; i < classCount(); i++) {
@@ -46,7 +46,7 @@
     return longest;
   }
 
-  private RequestClass requestClass(int index, String consistencyWord, String stalenessText)
+  private RequestClass requestClass(int index, String consistencyName, String stalenessText)
       throws InvalidConfigException {
     String prefix = classPrefix(index);
     String lateValue = prefix + "late_value";
@@ -57,8 +57,8 @@
         idempotency(prefix + "semantics"),
         keyScope(prefix + "key_scope"),
         values.nanos(prefix + "window"),
-        consistencyWord.equals(WRITE_WORD),
-        consistency(consistencyWord),
+        consistencyName.equals(WRITE_CONSISTENCY),
+        consistency(consistencyName),
         maxStaleness(stalenessText),
         values.isSet(lateValue) ? values.number(lateValue) : 0);
   }
@@ -76,32 +76,32 @@
   }
 
   private Idempotency idempotency(String path) throws InvalidConfigException {
-    String word = values.text(path);
-    return switch (word) {
+    String value = values.text(path);
+    return switch (value) {
       case "repeatable" -> Idempotency.IDEMPOTENT;
       case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
       case "once" -> Idempotency.NON_IDEMPOTENT;
-      default -> throw values.unknownWord(path, word);
+      default -> throw values.unknownValue(path, value);
     };
   }
 
   private KeyScope keyScope(String path) throws InvalidConfigException {
-    String word = values.text(path);
-    return switch (word) {
+    String value = values.text(path);
+    return switch (value) {
       case "all" -> KeyScope.GLOBAL;
       case "zone" -> KeyScope.ZONE;
       case "cell" -> KeyScope.GROUP;
-      default -> throw values.unknownWord(path, word);
+      default -> throw values.unknownValue(path, value);
     };
   }
 
-  private Consistency consistency(String word) throws InvalidConfigException {
-    return switch (word) {
+  private Consistency consistency(String name) throws InvalidConfigException {
+    return switch (name) {
       case "latest" -> Consistency.STRONG;
       case "own_writes" -> Consistency.READ_YOUR_WRITES;
       case "recent" -> Consistency.BOUNDED_STALENESS;
-      case "loose", "", WRITE_WORD -> Consistency.EVENTUAL;
-      default -> throw values.unknownWord(CONSISTENCY_BY_CLASS, word);
+      case "loose", "", WRITE_CONSISTENCY -> Consistency.EVENTUAL;
+      default -> throw values.unknownValue(CONSISTENCY_BY_CLASS, name);
     };
   }
 
@@ -109,7 +109,7 @@
     try {
       return text.isEmpty() ? 0 : DecimalSeconds.parseNanos(text);
     } catch (NumberFormatException e) {
-      throw values.invalid(STALENESS_BY_CLASS, "is no list of times");
+      throw values.invalid(STALENESS_BY_CLASS, "is not a list of times in seconds");
     }
   }
 }
--- a/router/src/main/java/rushwood/config/RouterConfig.java
+++ b/router/src/main/java/rushwood/config/RouterConfig.java
@@ -11,20 +11,23 @@
 import rushwood.discovery.EndpointList;
 
 /**
- * What the platform gives to a router process, in the file that the variable {@code NODE_CONFIG}
- * names. Times are in nanoseconds.
+ * The configuration of a router process, which the platform provides in the file that the
+ * environment variable {@code NODE_CONFIG} names.
  *
- * @param name the router's name in its log
- * @param listenAddress where clients connect
- * @param discoveryAddress where the endpoint list comes from
- * @param seed of all random choices
- * @param maxSockets how many descriptors the process may have open
- * @param lastKnownEndpoints the list that this router held before it was restarted
- * @param settings what the routing policy reads
- * @param connectTimeoutNanos the longest that a connection to a backend may take to open
- * @param idleTimeoutNanos after how long a backend closes an idle connection
- * @param maxRequestTimeoutNanos the longest that any client waits for an answer
- * @param drainGraceNanos the time after which a draining or removed endpoint may get nothing new
+ * @param name the name of the router
+ * @param listenAddress the address on which the router accepts clients
+ * @param discoveryAddress the address of the discovery agent
+ * @param seed the seed of all random choices
+ * @param maxSockets the number of file descriptors that the process may have open
+ * @param lastKnownEndpoints the endpoint list that the router held before it was restarted; empty
+ *     if there is none
+ * @param settings the settings of the routing policy
+ * @param connectTimeoutNanos how long opening a connection to a host may take
+ * @param idleTimeoutNanos the time after which a host closes an idle connection
+ * @param maxRequestTimeoutNanos the longest time that clients of any request class wait for an
+ *     answer
+ * @param drainGraceNanos the time after which a draining or removed endpoint must not get any new
+ *     requests
  */
 public record RouterConfig(
     String name,
@@ -40,10 +43,11 @@
     long drainGraceNanos) {
 
   /**
-   * Reads the file that {@code NODE_CONFIG} names. The variables {@code NODE_NAME}, {@code
-   * NODE_LISTEN} and {@code NODE_DISCOVERY} take precedence over it.
+   * Reads the file that {@code NODE_CONFIG} names. The environment variables {@code NODE_NAME},
+   * {@code NODE_LISTEN} and {@code NODE_DISCOVERY} take precedence over its fields.
    *
-   * @throws InvalidConfigException for the first field that is missing or cannot be read
+   * @param environment the environment variables of the process
+   * @throws InvalidConfigException for the first field that is missing or invalid
    */
   public static RouterConfig read(Map<String, String> environment) throws InvalidConfigException {
     return RouterConfigFile.open(environment).decode();
@@ -51,9 +55,11 @@
 
   /**
    * Reads the file again while the router runs. {@code NODE_DISCOVERY} is ignored: from the first
-   * reload on the address of discovery is that of the file, even if the file has not changed.
+   * reload on, the address of the discovery agent is the one in the file, even if the file has not
+   * changed.
    *
-   * @throws InvalidConfigException for the first field that is missing or cannot be read
+   * @param environment the environment variables of the process
+   * @throws InvalidConfigException for the first field that is missing or invalid
    */
   public static RouterConfig readForReload(Map<String, String> environment)
       throws InvalidConfigException {
@@ -63,18 +69,19 @@
   }
 
   /**
-   * Decodes what the routing policy reads from the object {@code settings} of a configuration.
+   * Decodes the settings of the routing policy.
    *
-   * @throws InvalidConfigException for the first field that is missing or cannot be read
-   * @throws com.google.gson.JsonParseException if {@code json} is no JSON
+   * @param json the object that the configuration file has in its field {@code settings}
+   * @throws InvalidConfigException for the first field that is missing or invalid
+   * @throws com.google.gson.JsonParseException if {@code json} is not valid JSON
    */
   public static RoutingSettings decodeSettings(String json) throws InvalidConfigException {
     return RouterConfigFile.settingsDecoder(JsonParser.parseString(json)).decodeSettings();
   }
 
   /**
-   * Returns the fields that differ in {@code newConfig} and cannot be changed while the router
-   * runs. The seed and the last known endpoints are new in every file and do not count.
+   * Returns the fields that are different in {@code newConfig} but take effect only at a restart.
+   * The seed and the last known endpoints are not compared, because they differ in every file.
    */
   public List<String> fieldsRequiringRestart(RouterConfig newConfig) {
     List<String> fields = new ArrayList<>();
--- a/router/src/main/java/rushwood/config/RouterConfigFile.java
+++ b/router/src/main/java/rushwood/config/RouterConfigFile.java
@@ -15,7 +15,7 @@
 import rushwood.discovery.EndpointList;
 import rushwood.discovery.EndpointListParser;
 
-/** The configuration file of a router, with the environment variables that precede its fields. */
+/** The configuration file of a router, some of whose fields environment variables override. */
 final class RouterConfigFile {
   static final String DISCOVERY_VARIABLE = "NODE_DISCOVERY";
   private static final String FILE_VARIABLE = "NODE_CONFIG";
@@ -36,8 +36,8 @@
   /**
    * Reads the file that {@code NODE_CONFIG} names.
    *
-   * @throws InvalidConfigException if the variable is missing, or the file is missing or no JSON
-   *     object
+   * @throws InvalidConfigException if the variable is not set, or the file cannot be read or is not
+   *     a JSON object
    */
   static RouterConfigFile open(Map<String, String> environment) throws InvalidConfigException {
     String file = environment.get(FILE_VARIABLE);
@@ -50,15 +50,15 @@
     } catch (IOException | InvalidPathException e) {
       throw new InvalidConfigException(
           FILE_VARIABLE, "names a file that cannot be read: " + e.getMessage());
-    } catch (JsonParseException | IllegalStateException e) { // no JSON, or JSON but no object
-      throw new InvalidConfigException(FILE_VARIABLE, "names a file that is no JSON object");
+    } catch (JsonParseException | IllegalStateException e) { // not JSON, or not an object
+      throw new InvalidConfigException(FILE_VARIABLE, "names a file that is not a JSON object");
     }
   }
 
   /**
    * Decodes the whole configuration.
    *
-   * @throws InvalidConfigException for the first field that is missing or cannot be read
+   * @throws InvalidConfigException for the first field that is missing or invalid
    */
   RouterConfig decode() throws InvalidConfigException {
     SettingsDecoder settings = settingsDecoder(object(SETTINGS));
@@ -76,13 +76,14 @@
         settings.drainGraceNanos());
   }
 
+  /** Returns a decoder for the object {@code settings} of a configuration file. */
   static SettingsDecoder settingsDecoder(JsonElement settings) {
     return new SettingsDecoder(JsonFlattener.flatten(settings), SETTINGS + ".");
   }
 
   /**
-   * Decodes the last known endpoint list. A malformed one is used as far as it can be read and
-   * never prevents the start.
+   * Decodes the last known endpoint list. If it is malformed, the readable part is used, so that it
+   * never prevents the router from starting.
    */
   private Optional<EndpointList> lastKnownEndpoints() {
     JsonElement known = root.get("known");
@@ -95,14 +96,14 @@
 
   private InetSocketAddress address(String field, String variable) throws InvalidConfigException {
     return EndpointAddressParser.parse(text(field, variable))
-        .orElseThrow(() -> new InvalidConfigException(field, "is no address"));
+        .orElseThrow(() -> new InvalidConfigException(field, "is not an IP address and port"));
   }
 
   private long seed() throws InvalidConfigException {
     try {
       return Long.parseUnsignedLong(text("seed"), SEED_RADIX);
     } catch (NumberFormatException e) {
-      throw new InvalidConfigException("seed", "is no hexadecimal number");
+      throw new InvalidConfigException("seed", "is not a hexadecimal number");
     }
   }
 
@@ -113,20 +114,20 @@
         return value.getAsInt();
       }
     } catch (NumberFormatException | UnsupportedOperationException | IllegalStateException e) {
-      // no number, an object or null, a list: reported below like a missing field
+      // not a number, an object or null, or an array: reported below like a missing field
     }
-    throw new InvalidConfigException("limits.sockets", "is missing or no number");
+    throw new InvalidConfigException("limits.sockets", "is missing or not a number");
   }
 
   private JsonObject object(String field) throws InvalidConfigException {
     JsonElement value = root.get(field);
     if (value == null || !value.isJsonObject()) {
-      throw new InvalidConfigException(field, "is missing or no object");
+      throw new InvalidConfigException(field, "is missing or not an object");
     }
     return value.getAsJsonObject();
   }
 
-  /** Returns the value of the variable, or of the field if the variable is not set. */
+  /** Returns the value of the environment variable, or of the field if it is not set. */
   private String text(String field, String variable) throws InvalidConfigException {
     String override = environment.get(variable);
     return override != null && !override.isEmpty() ? override : text(field);
--- a/router/src/main/java/rushwood/config/SettingsDecoder.java
+++ b/router/src/main/java/rushwood/config/SettingsDecoder.java
@@ -5,18 +5,21 @@
 import rushwood.api.RoutingSettings.LaggingReadBehavior;
 
 /**
- * Decodes the settings of a start from pairs of path and value, such as {@code limits.probes} and
- * {@code true}. The configuration file and the simulator have the same paths and words. Times are
- * written as decimal seconds and returned in nanoseconds. Every method throws an {@link
- * InvalidConfigException} for the first field that is missing or cannot be read.
+ * Decodes the settings of the routing policy, and of the connections to hosts, from pairs of path
+ * and value, such as {@code limits.probes} and {@code true}. Paths and values are the same in the
+ * configuration file and in the simulator's messages. Times are written in decimal seconds and
+ * returned in nanoseconds.
+ *
+ * <p>Every method throws an {@link InvalidConfigException} for the first field that is missing or
+ * invalid.
  */
 public final class SettingsDecoder {
-  private static final String LAGGING_READS = "domain.behind";
+  private static final String LAGGING_READ_BEHAVIOR = "domain.behind";
   private static final String POSITION_ZERO = "domain.position_zero";
-  private static final String SUBSCRIPTION = "discovery";
+  private static final String ENDPOINT_DELIVERY = "discovery";
   private static final String DRAIN_GRACE = "rules.drain_grace";
 
-  /** Where none is set: the shortest drain grace of any known deployment. */
+  /** The drain grace if none is set: the shortest one of any known deployment. */
   private static final long DEFAULT_DRAIN_GRACE_NANOS = 250_000_000L;
 
   private final SettingsValues values;
@@ -25,15 +28,15 @@
   /**
    * Creates a decoder.
    *
-   * @param values the settings by their path
-   * @param errorPrefix precedes the path where an error names a field; may be empty
+   * @param values the settings by path
+   * @param errorPrefix the text before the path of a field in error messages; may be empty
    */
   public SettingsDecoder(Map<String, String> values, String errorPrefix) {
     this.values = new SettingsValues(values, errorPrefix);
     classes = new RequestClassDecoder(this.values);
   }
 
-  /** Decodes what the routing policy reads. */
+  /** Decodes the settings of the routing policy. */
   public RoutingSettings decodeSettings() throws InvalidConfigException {
     boolean hasLoadReports = !values.textOr("load_report.how", "off").equals("off");
     boolean tracksSessionWrites = values.textOr("domain.token_mode", "client").equals("router");
@@ -60,29 +63,29 @@
   }
 
   /**
-   * Returns the clock time from which the wire counts replication positions; the policy sees clock
-   * times only.
+   * Returns the clock time in nanoseconds that is position 0 in the simulator's messages. The
+   * policy knows replication positions as clock times only.
    */
   public long positionZeroNanos() throws InvalidConfigException {
     return values.isSet(POSITION_ZERO) ? values.nanos(POSITION_ZERO) : 0;
   }
 
-  /** Returns the longest that any client waits for an answer. */
+  /** Returns the longest timeout of any request class, 0 if there are no classes. */
   long maxRequestTimeoutNanos() throws InvalidConfigException {
     return classes.maxRequestTimeoutNanos();
   }
 
-  /** Returns the longest that a connection to a backend may take to open. */
+  /** Returns how long opening a connection to a host may take. */
   long connectTimeoutNanos() throws InvalidConfigException {
     return values.nanos("limits.dial_timeout");
   }
 
-  /** Returns after how long a backend closes an idle connection. */
+  /** Returns the time after which a host closes an idle connection. */
   long idleTimeoutNanos() throws InvalidConfigException {
     return values.nanos("limits.conn_idle");
   }
 
-  /** Returns the time after which a leaving endpoint may get nothing new; never negative. */
+  /** Returns the time after which a leaving endpoint must not get new requests; never negative. */
   long drainGraceNanos() throws InvalidConfigException {
     return values.isSet(DRAIN_GRACE)
         ? Math.max(0, values.nanos(DRAIN_GRACE))
@@ -90,24 +93,24 @@
   }
 
   private boolean subscribesToEndpoints() throws InvalidConfigException {
-    String word = values.text(SUBSCRIPTION);
-    return switch (word) {
+    String value = values.text(ENDPOINT_DELIVERY);
+    return switch (value) {
       case "automatic" -> false;
       case "subscribe" -> true;
-      default -> throw values.unknownWord(SUBSCRIPTION, word);
+      default -> throw values.unknownValue(ENDPOINT_DELIVERY, value);
     };
   }
 
   private LaggingReadBehavior laggingReadBehavior() throws InvalidConfigException {
-    if (!values.isSet(LAGGING_READS)) {
+    if (!values.isSet(LAGGING_READ_BEHAVIOR)) {
       return LaggingReadBehavior.SERVES;
     }
-    String word = values.text(LAGGING_READS);
-    return switch (word) {
+    String value = values.text(LAGGING_READ_BEHAVIOR);
+    return switch (value) {
       case "off" -> LaggingReadBehavior.SERVES;
       case "reject" -> LaggingReadBehavior.REJECTS;
       case "hold" -> LaggingReadBehavior.WAITS;
-      default -> throw values.unknownWord(LAGGING_READS, word);
+      default -> throw values.unknownValue(LAGGING_READ_BEHAVIOR, value);
     };
   }
 }
--- a/router/src/main/java/rushwood/config/SettingsValues.java
+++ b/router/src/main/java/rushwood/config/SettingsValues.java
@@ -4,25 +4,30 @@
 
 /**
  * Typed access to settings, which are pairs of path and text, such as {@code limits.probes} and
- * {@code true}. The accessors throw an {@link InvalidConfigException} that names the path if there
- * is no value, an empty one or one of another type.
+ * {@code true}. Except where a method says otherwise, it throws an {@link InvalidConfigException}
+ * with the path if the value is missing, empty or of another type.
  */
 final class SettingsValues {
   private final Map<String, String> values;
   private final String errorPrefix;
 
-  /** {@code errorPrefix} precedes the path where an error names a field; it may be empty. */
+  /**
+   * Creates the access to the given settings.
+   *
+   * @param values the settings by path
+   * @param errorPrefix the text before the path of a field in error messages; may be empty
+   */
   SettingsValues(Map<String, String> values, String errorPrefix) {
     this.values = values;
     this.errorPrefix = errorPrefix;
   }
 
-  /** Whether there is a value at this path, even an empty one. */
+  /** Returns whether there is a value, which may be empty. */
   boolean isSet(String path) {
     return values.containsKey(path);
   }
 
-  /** The value at this path, even an empty one; {@code defaultValue} if there is none. */
+  /** Returns the value, which may be empty, or {@code defaultValue} if there is none. */
   String textOr(String path, String defaultValue) {
     return values.getOrDefault(path, defaultValue);
   }
@@ -35,12 +40,12 @@
     return value;
   }
 
-  /** A time in nanoseconds, written as decimal seconds. */
+  /** Returns the time in nanoseconds that the value gives in decimal seconds. */
   long nanos(String path) throws InvalidConfigException {
     try {
       return DecimalSeconds.parseNanos(text(path));
     } catch (NumberFormatException e) {
-      throw invalid(path, "is not a time");
+      throw invalid(path, "is not a time in seconds");
     }
   }
 
@@ -52,21 +57,21 @@
     }
   }
 
-  /** {@code true} or {@code false}; false if there is no value. */
+  /** Returns whether the value is {@code true}; false if there is no value. */
   boolean flag(String path) throws InvalidConfigException {
     if (!isSet(path)) {
       return false;
     }
-    String word = text(path);
-    return switch (word) {
+    String value = text(path);
+    return switch (value) {
       case "false" -> false;
       case "true" -> true;
-      default -> throw unknownWord(path, word);
+      default -> throw unknownValue(path, value);
     };
   }
 
-  InvalidConfigException unknownWord(String path, String word) {
-    return invalid(path, "has the unknown word " + word);
+  InvalidConfigException unknownValue(String path, String value) {
+    return invalid(path, "has the unknown value " + value);
   }
 
   InvalidConfigException invalid(String path, String reason) {
--- a/router/src/main/java/rushwood/config/package-info.java
+++ b/router/src/main/java/rushwood/config/package-info.java
@@ -1,10 +1,15 @@
 /**
- * The settings of a router: what the platform gives to each process ({@link
- * rushwood.config.RouterConfig}), what the operator owns ({@link rushwood.config.OperatorSettings})
- * and the settings of the routing policy, which the simulator sends too ({@link
- * rushwood.config.SettingsDecoder}).
+ * The configuration of a router:
  *
- * <p>Each error is an {@link rushwood.config.InvalidConfigException} that names the field.
+ * <ul>
+ *   <li>{@link rushwood.config.RouterConfig}: what the platform provides to each router process;
+ *   <li>{@link rushwood.config.OperatorSettings}: what the operator controls;
+ *   <li>{@link rushwood.config.SettingsDecoder}: the settings of the routing policy, which the
+ *       configuration file contains and the simulator sends.
+ * </ul>
+ *
+ * <p>A missing or invalid field causes an {@link rushwood.config.InvalidConfigException} that names
+ * it.
  */
 @NullMarked
 package rushwood.config;
--- a/router/src/test/java/rushwood/config/OperatorSettingsTest.java
+++ b/router/src/test/java/rushwood/config/OperatorSettingsTest.java
@@ -19,15 +19,15 @@
 
   @Test
   void errorsNameTheInvalidField() throws Exception {
-    assertInvalid("[", "rushwood.json is no JSON object");
-    assertInvalid("{\"strom\":{}}", "strom is no setting");
-    assertInvalid("{\"storm\":{\"x\":1}}", "storm.x is no setting");
-    assertInvalid("{\"storm\":[]}", "storm is no object");
+    assertInvalid("[", "rushwood.json is not a JSON object");
+    assertInvalid("{\"strom\":{}}", "strom is not a known setting");
+    assertInvalid("{\"storm\":{\"x\":1}}", "storm.x is not a known setting");
+    assertInvalid("{\"storm\":[]}", "storm is not an object");
     assertInvalid("{\"storm\":{\"calendar\":1}}", "storm.calendar is neither true nor false");
-    assertInvalid("{\"storm\":{\"repeats\":-1}}", "storm.repeats is no number from 0 to 10");
+    assertInvalid("{\"storm\":{\"repeats\":-1}}", "storm.repeats is not a number from 0 to 10");
     assertInvalid("{\"log\":{\"format\":\"xml\"}}", "log.format is neither lines nor json");
     assertInvalid("{\"log\":{\"format\":\"json\"}}", "log.file is missing");
-    assertInvalid("{\"log\":{\"file\":\"a\"}}", "log.file goes with the format json only");
+    assertInvalid("{\"log\":{\"file\":\"a\"}}", "log.file is allowed only with the format json");
     assertEquals(OperatorSettings.DEFAULTS, OperatorSettings.parse("{}"));
     assertEquals(
         Optional.of("a"),
--- a/router/src/test/java/rushwood/config/RouterConfigFixture.java
+++ b/router/src/test/java/rushwood/config/RouterConfigFixture.java
@@ -1,8 +1,8 @@
 package rushwood.config;
 
-/** Configurations that tests start from. */
+/** Valid configurations for tests. */
 public final class RouterConfigFixture {
-  /** The settings of two classes: bounded reads that may be repeated, writes that may not. */
+  /** Settings with two classes: idempotent reads of bounded staleness and non-idempotent writes. */
   public static final String VALID_SETTINGS =
       """
             {"classes":[{"name":"pass","aim":0.4,"deadline":1.5,"semantics":"repeatable","key_scope":"all","window":5.0},
@@ -15,7 +15,7 @@
              "load_report":{"how":"inline","names":["x0","x1"]},
              "rules":{"ask_within":10.0,"cold":14.0,"cold_from":0.15,"fall":1.0,"tip_multiple":4.0}}""";
 
-  /** A whole configuration file with {@link #VALID_SETTINGS}. */
+  /** A complete configuration file that contains {@link #VALID_SETTINGS}. */
   public static final String VALID_CONFIG =
       "{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\","
           + "\"seed\":\"fc1f30d27a5be964\",\"limits\":{\"sockets\":256},"
--- a/router/src/test/java/rushwood/config/RouterConfigTest.java
+++ b/router/src/test/java/rushwood/config/RouterConfigTest.java
@@ -17,10 +17,10 @@
 class RouterConfigTest {
   @TempDir Path folder;
 
-  private RouterConfig read(String json, Map<String, String> more)
+  private RouterConfig read(String json, Map<String, String> overrides)
       throws IOException, InvalidConfigException {
     Path file = Files.writeString(folder.resolve("config.json"), json);
-    Map<String, String> environment = new HashMap<>(more);
+    Map<String, String> environment = new HashMap<>(overrides);
     environment.put("NODE_CONFIG", file.toString());
     return RouterConfig.read(environment);
   }
@@ -44,7 +44,7 @@
         assertThrows(InvalidConfigException.class, () -> read(json, Map.of()));
     assertEquals(field, error.field());
     assertEquals(field + " " + error.reason(), error.getMessage());
-    assertFalse(error.getMessage().contains("\n"), "more than one line");
+    assertFalse(error.getMessage().contains("\n"), "more than one line: " + error.getMessage());
   }
 
   @Test
--- a/router/src/test/java/rushwood/server/EndpointListUpdateTest.java
+++ b/router/src/test/java/rushwood/server/EndpointListUpdateTest.java
@@ -57,7 +57,7 @@
       Path config = Files.writeString(router.configFile(), "{\"name\":");
       router.sendSignal("HUP");
       router.awaitLogLine(
-          "ignored the new configuration: NODE_CONFIG names a file that is no JSON object");
+          "ignored the new configuration: NODE_CONFIG names a file that is not a JSON object");
       assertEquals(SERVED, client.query(read("r1")));
       otherDiscovery.endpointList =
           router
