--- a/router/src/main/java/rushwood/simulator/EventDecoder.java
+++ b/router/src/main/java/rushwood/simulator/EventDecoder.java
@@ -14,18 +14,20 @@
 import rushwood.api.ZoneId;
 import rushwood.config.DecimalSeconds;
 
-/** Decodes lines of the simulator into the values that the routing policy takes. */
+/** Decodes lines of the simulator protocol into the value types of the routing policy. */
 final class EventDecoder {
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final double NANOS_PER_MILLI = 1e6;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final double DEFAULT_WEIGHT = 1;
 
-  /** A stamp is four times the position in milliseconds, plus the role of the host. */
-  private static final long STAMP_ROLES = 4;
+  /**
+   * The multiplier of the position in a stamp: a stamp is this number times the position in
+   * milliseconds, plus the code of the host's role.
+   */
+  private static final long STAMP_POSITION_FACTOR = 4;
 
   private static final long STAMP_PRIMARY = 1;
   private static final long STAMP_REPLICA = 2;
-  private static final long STAMP_POSITION_NANOS = 1_000_000L;
 
   private EventDecoder() {}
 
@@ -49,10 +51,10 @@
     long position = AttemptResult.NO_POSITION;
     if (line.has("stamp")) {
       long stamp = line.requiredLong("stamp");
-      role = decodeRole(stamp % STAMP_ROLES);
-      long stampPosition = stamp / STAMP_ROLES;
-      if (stampPosition > 0) {
-        position = router.positionZeroNanos() + stampPosition * STAMP_POSITION_NANOS;
+      role = decodeRole(stamp % STAMP_POSITION_FACTOR);
+      long positionMillis = stamp / STAMP_POSITION_FACTOR;
+      if (positionMillis > 0) {
+        position = router.positionZeroNanos() + positionMillis * NANOS_PER_MILLI;
       }
     }
     return new AttemptResult(
@@ -89,7 +91,10 @@
     };
   }
 
-  /** Decodes a load report; a position in seconds after the settings' zero becomes a clock time. */
+  /**
+   * Decodes a load report. Its position, in seconds since the position zero of the settings,
+   * becomes a clock time in nanoseconds.
+   */
   static LoadReport decodeLoadReport(WireLine line, SimulatedRouter router) {
     String pairs = line.optionalText("pressure");
     if (pairs == null || pairs.isEmpty()) {
@@ -100,13 +105,13 @@
     for (String pair : pairs.split(",")) {
       int colon = pair.indexOf(':');
       if (colon < 0) {
-        throw line.malformed("pressure", "is not a list of pairs");
+        throw line.malformed("pressure", "is not a list of name:number pairs");
       }
       double value = decodeLoadValue(line, pair.substring(colon + 1));
       switch (pair.substring(0, colon)) {
         case "x0" -> position = value * NANOS_PER_SECOND + router.positionZeroNanos();
         case "x1" -> role = HostRole.of(value == 1);
-        default -> {} // of no use to the policy
+        default -> {} // not used by the policy
       }
     }
     return new LoadReport(position, role);
@@ -116,7 +121,7 @@
     try {
       return DecimalSeconds.parseNumber(text);
     } catch (NumberFormatException e) {
-      throw line.malformed("pressure", "has no number");
+      throw line.malformed("pressure", "contains a value that is not a number");
     }
   }
 
--- a/router/src/main/java/rushwood/simulator/EventHandler.java
+++ b/router/src/main/java/rushwood/simulator/EventHandler.java
@@ -14,46 +14,46 @@
 import rushwood.config.SettingsDecoder;
 
 /**
- * Hands each event to the policy of the router that it is for, and collects what the policies
- * decide during a batch.
+ * Delivers each event to the policy of its target router, and collects the actions of the policies
+ * during a batch.
  */
 final class EventHandler {
   private final WireReader reader;
   private final Map<Integer, SimulatedRouter> routers = new LinkedHashMap<>();
   private final Map<Integer, List<Endpoint>> endpointLists = new LinkedHashMap<>();
-  private final Map<Integer, SimulatedRouter> routersOfBatch = new LinkedHashMap<>();
+  private final Map<Integer, SimulatedRouter> batchRouters = new LinkedHashMap<>();
   private long now;
-  private OptionalInt targetId = OptionalInt.empty();
+  private OptionalInt targetRouterId = OptionalInt.empty();
 
   /**
-   * Creates a handler without routers.
+   * Creates a handler without any routers.
    *
-   * @param reader from which the rows of an endpoint list are read
+   * @param reader the source of the rows that follow a {@code manifest} line
    */
   EventHandler(WireReader reader) {
     this.reader = reader;
   }
 
   /**
-   * Begins a batch, in which no router is named yet.
+   * Starts a batch, which has no target router yet.
    *
-   * @param batchTime of all its events, in nanoseconds of the simulator's clock
+   * @param batchTime the time of all events of the batch, in nanoseconds of the simulator's clock
    */
   void startBatch(long batchTime) {
     now = batchTime;
-    targetId = OptionalInt.empty();
-    routersOfBatch.clear();
+    targetRouterId = OptionalInt.empty();
+    batchRouters.clear();
   }
 
-  /** Returns the router that the batch has named last; empty until it has named one. */
-  OptionalInt targetId() {
-    return targetId;
+  /** Returns the id of the target router; empty if the batch has not named one yet. */
+  OptionalInt targetRouterId() {
+    return targetRouterId;
   }
 
-  /** Returns what the policies decided in this batch, by router in the order of their events. */
+  /** Returns the output of this batch: for each router with output, its id and its actions. */
   String takeOutput() {
     StringBuilder output = new StringBuilder();
-    routersOfBatch.forEach(
+    batchRouters.forEach(
         (id, router) -> {
           String lines = router.takeOutput();
           if (!lines.isEmpty()) {
@@ -63,7 +63,7 @@
     return output.toString();
   }
 
-  /** Returns the line of a reply that names the router of the lines after it. */
+  /** Returns the reply line that names the router whose actions follow. */
   static String routerLine(int id) {
     return "as\trouter=" + id + "\n";
   }
@@ -71,11 +71,11 @@
   /**
    * Handles one event.
    *
-   * @throws MalformedMessageException if it cannot be read, or is for an unknown router
+   * @throws MalformedMessageException if the event is malformed or its router is missing or unknown
    */
   void handle(WireLine line) throws IOException {
     switch (line.messageType()) {
-      case "target_instance" -> targetId = OptionalInt.of(line.requiredInt("router"));
+      case "target_instance" -> targetRouterId = OptionalInt.of(line.requiredInt("router"));
       case "manifest" -> readEndpointList(line);
       case "power_on" -> startRouter(line);
       case "detach" -> removeRouter(line);
@@ -85,31 +85,32 @@
       case "lapsed" -> disconnectClient(line);
       case "status_back" -> finishHealthCheck(line);
       case "due" -> targetRouter(line).policy().timerFired(now);
-      case "accepted", "from_peer" -> targetRouter(line);
-      default -> throw line.malformed("message", "is unknown");
+      case "accepted", "from_peer" -> targetRouter(line); // not used by the policy
+      default -> throw line.malformed("message type", "is unknown");
     }
   }
 
-  /** Returns the router that the batch has named; its output becomes part of the reply. */
+  /** Returns the target router, and includes its output in the reply. */
   private SimulatedRouter targetRouter(WireLine line) {
-    int id = requiredTargetId(line);
+    int id = requiredTargetRouterId(line);
     SimulatedRouter router = routers.get(id);
     if (router == null) {
       throw line.malformed("router", id + " is unknown");
     }
-    routersOfBatch.put(id, router);
+    batchRouters.put(id, router);
     return router;
   }
 
-  private int requiredTargetId(WireLine line) {
-    return targetId.orElseThrow(() -> line.malformed("router", "is not named"));
+  private int requiredTargetRouterId(WireLine line) {
+    return targetRouterId.orElseThrow(
+        () -> line.malformed("router", "is not named by an earlier target_instance"));
   }
 
   private void startRouter(WireLine line) {
-    int id = requiredTargetId(line);
+    int id = requiredTargetRouterId(line);
     SimulatedRouter router = createRouter(line);
     routers.put(id, router);
-    routersOfBatch.put(id, router);
+    batchRouters.put(id, router);
   }
 
   private static SimulatedRouter createRouter(WireLine line) {
@@ -123,12 +124,12 @@
 
   private void removeRouter(WireLine line) {
     targetRouter(line);
-    int id = requiredTargetId(line);
+    int id = requiredTargetRouterId(line);
     routers.remove(id);
-    routersOfBatch.remove(id);
+    batchRouters.remove(id);
   }
 
-  /** Reads the rows of an endpoint list, to which later events refer by its number. */
+  /** Reads the rows of an endpoint list, which later events refer to by its number. */
   private void readEndpointList(WireLine line) throws IOException {
     int listNumber = line.requiredInt("page");
     int rowCount = line.requiredInt("rows_in");
@@ -136,7 +137,7 @@
     for (int i = 0; i < rowCount; i++) {
       WireLine row = reader.readLineOfBatch();
       if (!row.messageType().equals("row")) {
-        throw row.malformed("message", "stands where a row is due");
+        throw row.malformed("message type", "must be row");
       }
       endpoints.add(EventDecoder.decodeEndpoint(row));
     }
@@ -152,7 +153,7 @@
     }
     List<Endpoint> endpoints = endpointLists.get(line.requiredInt("page"));
     if (endpoints == null) {
-      throw line.malformed("page", "names no list");
+      throw line.malformed("page", "is unknown");
     }
     switch (updateKind) {
       case "diff" -> router.policy().endpointsUpdated(now, endpoints);
@@ -180,9 +181,9 @@
   private void finishHealthCheck(WireLine line) {
     SimulatedRouter router = targetRouter(line);
     HostId host = new HostId(line.requiredText("host"));
-    boolean hasAnswered = EventDecoder.decodeOutcome(line) == AttemptOutcome.SUCCESS;
+    boolean answered = EventDecoder.decodeOutcome(line) == AttemptOutcome.SUCCESS;
     router
         .policy()
-        .healthCheckFinished(now, host, hasAnswered, EventDecoder.decodeLoadReport(line, router));
+        .healthCheckFinished(now, host, answered, EventDecoder.decodeLoadReport(line, router));
   }
 }
--- a/router/src/main/java/rushwood/simulator/MalformedMessageException.java
+++ b/router/src/main/java/rushwood/simulator/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package rushwood.simulator;
 
-/** A line of the simulator that cannot be read; the message names the line and the field. */
+/** Thrown if a line of the simulator is malformed. The message names the line and the field. */
 final class MalformedMessageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
   private final String message;
--- a/router/src/main/java/rushwood/simulator/SimulatedRouter.java
+++ b/router/src/main/java/rushwood/simulator/SimulatedRouter.java
@@ -13,7 +13,8 @@
 import rushwood.policy.DefaultRoutingPolicy;
 
 /**
- * One router of the simulator: its routing policy, and the lines that the policy's actions write.
+ * A router in the simulator: a routing policy whose actions are written as lines of the simulator
+ * protocol.
  */
 final class SimulatedRouter implements PolicyActions {
   private final StringBuilder output = new StringBuilder();
@@ -35,12 +36,12 @@
     return settings;
   }
 
-  /** Returns the clock time from which replication positions are counted on the wire. */
+  /** Returns the clock time in nanoseconds that is position 0 in the simulator's messages. */
   long positionZeroNanos() {
     return positionZeroNanos;
   }
 
-  /** Returns the lines written since the last call. */
+  /** Returns the lines written since the last call and clears them. */
   String takeOutput() {
     String lines = output.toString();
     output.setLength(0);
@@ -48,8 +49,8 @@
   }
 
   @Override
-  public void send(RequestId request, HostId endpoint, long timeoutNanos, long startWithinNanos) {
-    output.append("route\tid=").append(request.value()).append("\thost=").append(endpoint.value());
+  public void send(RequestId request, HostId host, long timeoutNanos, long startWithinNanos) {
+    output.append("route\tid=").append(request.value()).append("\thost=").append(host.value());
     output.append("\tcap=");
     DecimalSeconds.appendSeconds(output, timeoutNanos);
     output.append('\n');
@@ -77,8 +78,8 @@
   }
 
   @Override
-  public void checkHealth(HostId endpoint) {
-    output.append("ping\thost=").append(endpoint.value()).append('\n');
+  public void checkHealth(HostId host) {
+    output.append("ping\thost=").append(host.value()).append('\n');
   }
 
   @Override
@@ -94,7 +95,7 @@
   }
 
   @Override
-  public void log(LogLevel level, String message) {
-    output.append("write_log\tmessage=").append(message).append('\n');
+  public void log(LogLevel level, String line) {
+    output.append("write_log\tmessage=").append(line).append('\n');
   }
 }
--- a/router/src/main/java/rushwood/simulator/SimulatorAdapter.java
+++ b/router/src/main/java/rushwood/simulator/SimulatorAdapter.java
@@ -8,11 +8,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Serves the simulator's wire: reads batches of events, hands each event to the policy of its
- * router and replies with what the policies decided.
+ * Serves the simulator protocol: reads batches of events, delivers each event to the policy of its
+ * router and replies to each batch with the actions of the policies.
  *
- * <p>A batch begins with {@code mark}, which gives the time, and ends with {@code eof_batch}. In
- * between, {@code target_instance} names the router that the following events are for.
+ * <p>A batch starts with {@code mark}, which contains the time, and ends with {@code eof_batch}. In
+ * between, {@code target_instance} names the target router of the events that follow it.
  */
 public final class SimulatorAdapter {
   private static final int EXIT_OK = 0;
@@ -30,11 +30,12 @@
   }
 
   /**
-   * Serves the wire until the end of input.
+   * Serves the protocol until the end of the input.
    *
-   * @param errors gets one line if the input is malformed where no router can be told
-   * @return the exit code: 0 at the end of input, 1 after malformed input
-   * @throws IOException if the streams cannot be read or written
+   * @param errors receives one line if the process ends because of malformed input
+   * @return the exit code: 0 at the end of the input, 1 if malformed input could not be reported in
+   *     a reply because its batch had not named a router
+   * @throws IOException if a stream cannot be read or written
    */
   public static int run(InputStream in, OutputStream out, PrintStream errors) throws IOException {
     SimulatorAdapter adapter = new SimulatorAdapter(in);
@@ -50,14 +51,14 @@
     }
   }
 
-  /** Processes the next batch and returns the reply; null at the end of input. */
+  /** Processes the next batch and returns the reply, or null at the end of the input. */
   private @Nullable String processBatch() throws IOException {
     WireLine start = reader.readNonEmptyLine();
     if (start == null) {
       return null;
     }
     if (!start.messageType().equals(BATCH_START)) {
-      throw start.malformed("message", "stands where mark is due");
+      throw start.malformed("message type", "must be mark");
     }
     eventHandler.startBatch(start.requiredNanos("clock"));
     WireLine line = start;
@@ -69,23 +70,24 @@
       }
     } catch (MalformedMessageException e) {
       return failureReply(e.getMessage(), e);
-    } catch (RuntimeException e) { // a fault of the policy: the simulator is to show it
+    } catch (RuntimeException e) { // a fault of the policy, which the simulator reports
       MalformedMessageException cause = new MalformedMessageException(e.toString());
-      return failureReply(line.malformed("message", "met " + e).getMessage(), cause);
+      return failureReply(line.malformed("event", "failed with " + e).getMessage(), cause);
     }
     return eventHandler.takeOutput() + REPLY_END;
   }
 
   /**
-   * Skips the rest of the batch and returns the reply that ends the simulation with a message.
-   * Without a router to send it for, throws {@code cause} instead, which ends the process.
+   * Skips the rest of the batch and returns a reply that ends the simulation with the message. The
+   * reply needs a router: if the batch has not named one, throws {@code cause}, which ends the
+   * process.
    */
   private String failureReply(String message, MalformedMessageException cause) throws IOException {
-    if (eventHandler.targetId().isEmpty()) {
+    if (eventHandler.targetRouterId().isEmpty()) {
       throw cause;
     }
     reader.skipBatch();
-    String routerLine = EventHandler.routerLine(eventHandler.targetId().getAsInt());
+    String routerLine = EventHandler.routerLine(eventHandler.targetRouterId().getAsInt());
     String singleLine = message.replaceAll("\\s+", " ");
     return routerLine + "die\tmessage=" + singleLine + "\n" + REPLY_END;
   }
--- a/router/src/main/java/rushwood/simulator/WireLine.java
+++ b/router/src/main/java/rushwood/simulator/WireLine.java
@@ -7,16 +7,17 @@
 import rushwood.config.DecimalSeconds;
 
 /**
- * One line of the simulator's wire: the message type, then fields {@code name=value}, all separated
- * by tabs. The accessors throw a {@link MalformedMessageException} if the field cannot be read, the
- * {@code required} ones also if it is missing or empty.
+ * A line of the simulator protocol: the message type and fields {@code name=value}, separated by
+ * tabs. The accessors that convert a value throw a {@link MalformedMessageException} if it is
+ * malformed. Those with {@code required} in their name also throw it if the field is missing or
+ * empty.
  */
 final class WireLine {
-  private static final int INITIAL_FIELDS = 16;
+  private static final int INITIAL_FIELD_CAPACITY = 16;
 
   private final String text;
   private final long lineNumber;
-  private int[] fieldStarts = new int[INITIAL_FIELDS];
+  private int[] fieldStarts = new int[INITIAL_FIELD_CAPACITY];
   private int fieldCount;
 
   WireLine(String text, long lineNumber) {
@@ -34,7 +35,7 @@
     return fieldCount == 0 ? text : text.substring(0, fieldStarts[0] - 1);
   }
 
-  /** Returns an exception that names this line, the field and the reason. */
+  /** Returns an exception whose message names this line, the field and the reason. */
   MalformedMessageException malformed(String field, String reason) {
     return new MalformedMessageException(
         "line " + lineNumber + " (" + messageType() + "): " + field + " " + reason);
@@ -44,7 +45,7 @@
     return optionalText(name) != null;
   }
 
-  /** Returns the value of the field, null if there is none. */
+  /** Returns the value of the field, or null if the field is missing. */
   @Nullable String optionalText(String name) {
     for (int i = 0; i < fieldCount; i++) {
       int start = fieldStarts[i];
@@ -56,7 +57,7 @@
     return null;
   }
 
-  /** Returns the value of the field, {@code defaultValue} if there is none. */
+  /** Returns the value of the field, or {@code defaultValue} if the field is missing. */
   String textOr(String name, String defaultValue) {
     String value = optionalText(name);
     return value == null ? defaultValue : value;
@@ -66,7 +67,7 @@
     return index + 1 < fieldCount ? fieldStarts[index + 1] - 1 : text.length();
   }
 
-  /** Returns all fields in their order. */
+  /** Returns all fields by name, in the order of the line. */
   Map<String, String> fields() {
     Map<String, String> fields = new LinkedHashMap<>();
     for (int i = 0; i < fieldCount; i++) {
@@ -87,12 +88,12 @@
     return value;
   }
 
-  /** Returns a time, written as decimal seconds. */
+  /** Returns the time in nanoseconds that the field gives in decimal seconds. */
   long requiredNanos(String name) {
     try {
       return DecimalSeconds.parseNanos(requiredText(name));
     } catch (NumberFormatException e) {
-      throw malformed(name, "is not a time");
+      throw malformed(name, "is not a time in seconds");
     }
   }
 
@@ -120,7 +121,7 @@
     }
   }
 
-  /** Returns whether the field is 1; a missing one is 0. */
+  /** Returns whether the field is 1; false if it is 0 or missing. */
   boolean optionalFlag(String name) {
     String value = optionalText(name);
     if (value == null || value.equals("0")) {
--- a/router/src/main/java/rushwood/simulator/WireReader.java
+++ b/router/src/main/java/rushwood/simulator/WireReader.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the lines of the simulator's wire, numbered from 1, and knows where a batch ends. */
+/** Reads lines of the simulator protocol and numbers them from 1. */
 final class WireReader {
   private static final int BUFFER_SIZE = 1 << 16;
   private static final String BATCH_END = "eof_batch";
@@ -19,7 +19,7 @@
     input = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_SIZE);
   }
 
-  /** Returns the next line that is not empty, null at the end of input. */
+  /** Returns the next line that is not empty, or null at the end of the input. */
   @Nullable WireLine readNonEmptyLine() throws IOException {
     WireLine line = readLine();
     while (line != null && line.messageType().isEmpty()) {
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Returns the next line of a batch that has begun.
+   * Returns the next line of a batch that has started.
    *
-   * @throws MalformedMessageException at the end of input
+   * @throws MalformedMessageException at the end of the input
    */
   WireLine readLineOfBatch() throws IOException {
     WireLine line = readLine();
@@ -41,7 +41,7 @@
     return line;
   }
 
-  /** Skips all lines up to the end of the batch, or of the input. */
+  /** Skips all lines up to and including the end of the batch, or to the end of the input. */
   void skipBatch() throws IOException {
     WireLine line = readLine();
     while (line != null && !isBatchEnd(line)) {
--- a/router/src/main/java/rushwood/simulator/package-info.java
+++ b/router/src/main/java/rushwood/simulator/package-info.java
@@ -1,8 +1,10 @@
 /**
- * The simulator's side of the routing policy: {@link rushwood.simulator.SimulatorAdapter} reads
- * batches of events from standard input, calls the policies of any number of routers and writes
- * what they decide to standard output. No other package uses the words of that protocol, but {@code
- * rushwood.config} for the settings.
+ * Runs routing policies in the simulator: {@link rushwood.simulator.SimulatorAdapter} reads batches
+ * of events from standard input, delivers them to the policies of any number of routers and writes
+ * the actions of the policies to standard output.
+ *
+ * <p>Only this package uses the names of the simulator protocol, except that {@code
+ * rushwood.config} decodes the settings in it.
  */
 @NullMarked
 package rushwood.simulator;
--- a/router/src/test/java/rushwood/simulator/SimulatorAdapterTest.java
+++ b/router/src/test/java/rushwood/simulator/SimulatorAdapterTest.java
@@ -9,7 +9,7 @@
 import java.io.PrintStream;
 import org.junit.jupiter.api.Test;
 
-/** What the simulator is told of input that cannot be read. */
+/** How the adapter reports malformed input. */
 class SimulatorAdapterTest {
   private final ByteArrayOutputStream output = new ByteArrayOutputStream();
   private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void endsTheSimulationWhereARouterIsNamed() throws IOException {
+  void endsSimulationIfLineForRouterIsMalformed() throws IOException {
     assertEquals(
         0,
         run(
@@ -35,14 +35,16 @@
   }
 
   @Test
-  void endsTheProcessWhereNoRouterIsNamed() throws IOException {
+  void endsProcessIfNoRouterIsNamed() throws IOException {
     assertEquals(1, run("mark\tclock=1.0", "due", "eof_batch"));
-    assertEquals("rushwood: line 2 (due): router is not named\n", errors.toString(UTF_8));
+    assertEquals(
+        "rushwood: line 2 (due): router is not named by an earlier target_instance\n",
+        errors.toString(UTF_8));
     assertEquals("", output.toString(UTF_8));
   }
 
   @Test
-  void skipsTheRestOfABatchForAnUnknownRouter() throws IOException {
+  void skipsRestOfBatchAfterUnknownRouter() throws IOException {
     assertEquals(
         0,
         run(
@@ -60,7 +62,7 @@
   }
 
   @Test
-  void endsTheProcessWhereTheInputEndsWithinABatch() throws IOException {
+  void endsProcessIfInputEndsWithinBatch() throws IOException {
     assertEquals(1, run("mark\tclock=1.0"));
     assertEquals("rushwood: line 2: the input ends within a batch\n", errors.toString(UTF_8));
   }
