--- a/router/src/main/java/rushwood/Main.java
+++ b/router/src/main/java/rushwood/Main.java
@@ -9,19 +9,19 @@
 import rushwood.server.RouterServer;
 import rushwood.simulator.SimulatorAdapter;
 
-/** The command line of the router's jar: one command a job. */
+/** Command-line entry point of the router's jar. */
 public final class Main {
   private static final int EXIT_CANNOT_START = 1;
-  private static final int EXIT_USAGE = 2; // also for settings that cannot be used
+  private static final int EXIT_USAGE = 2; // also for an invalid configuration
 
   private Main() {}
 
   /**
-   * Runs the command {@code serve} (a router) or {@code adapter} (the routing policy on the
-   * simulator's wire, standard input and output).
+   * Runs the command {@code serve}, which starts a router, or {@code adapter}, which runs the
+   * routing policy for the simulator and talks to it over standard input and output.
    *
-   * @param args the command alone; settings come from the environment
-   * @throws IOException if the simulator's wire breaks
+   * @param args the command only; the configuration comes from environment variables
+   * @throws IOException if standard input or output to the simulator fails
    */
   public static void main(String[] args) throws IOException {
     String command = args.length == 1 ? args[0] : "";
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Starts a router and returns once it listens; the event loop runs on until SIGTERM. */
+  /** Starts a router and returns once it listens. The event loop keeps running until SIGTERM. */
   private static void serve() {
     try {
       HangUpSignal hangUpSignal = HangUpSignal.install();
@@ -49,13 +49,13 @@
     } catch (InvalidConfigException e) {
       System.err.println("rushwood: " + e.getMessage());
       System.exit(EXIT_USAGE);
-    } catch (Exception e) { // whatever else ends a start: the warm-up, the bind, no SIGHUP
+    } catch (Exception e) { // for example a failed warm-up or bind
       System.err.println("rushwood: cannot start: " + e.getMessage());
       System.exit(EXIT_CANNOT_START);
     }
   }
 
-  /** Configures the logging library, which must not have written a line yet. */
+  /** Configures JSON output. Has to be called before the first line is logged. */
   private static void logAsJson(String file) {
     Configuration.set("writer", "json");
     Configuration.set("writer.file", file);
--- a/router/src/main/java/rushwood/server/ConfigApplier.java
+++ b/router/src/main/java/rushwood/server/ConfigApplier.java
@@ -6,20 +6,23 @@
 import rushwood.discovery.DiscoveryClient;
 
 /**
- * Applies a configuration that was read while the router serves. Of its fields
+ * Applies a configuration that was reloaded while the router serves. A change takes effect as
+ * follows:
  *
  * <ul>
- *   <li>{@code discovery} takes effect at once: the agent at the new address is polled, and the
- *       watch at the old one counts until the new list has come;
- *   <li>{@code name}, {@code listen}, {@code limits.sockets} and {@code settings} keep the values
- *       of the start until a restart. A change of one of them is logged. Of {@code settings} the
- *       classes' deadlines and {@code rules.drain_grace} are not compared, so that a change of
- *       these alone is ignored without a line;
- *   <li>{@code seed} and {@code known} are of use at a start only, and a change is ignored.
+ *   <li>{@code discovery} takes effect at once: the agent at the new address is polled, and updates
+ *       of the watch at the old address are accepted until the new agent has sent its list.
+ *   <li>{@code name}, {@code listen}, {@code limits.sockets} and {@code settings} take effect only
+ *       after a restart, and a change of one of them is logged. The request classes' deadlines and
+ *       {@code rules.drain_grace}, although part of {@code settings}, are not compared: a change of
+ *       these alone is ignored without a log line.
+ *   <li>{@code seed} and {@code known} are used only at the start; a change is ignored.
  * </ul>
  *
- * <p>All state survives: requests, connections, the endpoint list in force, what the routing policy
- * has learned of hosts and groups, overload control and the counters. Used on the event loop only.
+ * <p>All state is kept: requests, connections, the current endpoint list, what the routing policy
+ * has learned about hosts and groups, the state of overload control, and the counters.
+ *
+ * <p>Used on the event loop only.
  */
 final class ConfigApplier {
   private final RouterConfig startConfig;
@@ -28,7 +31,7 @@
   private InetSocketAddress discoveryAddress;
 
   /**
-   * Creates an applier.
+   * Creates an applier that compares new configurations with {@code startConfig}.
    *
    * @param startConfig the configuration that the router was started with
    */
@@ -40,7 +43,7 @@
     discoveryAddress = startConfig.discoveryAddress();
   }
 
-  /** Puts into force what may change while the router serves, and logs what may not. */
+  /** Applies the fields that can change at runtime, and logs changes of those that cannot. */
   void apply(RouterConfig newConfig) {
     startConfig.fieldsRequiringRestart(newConfig).forEach(this::logIgnored);
     if (!newConfig.discoveryAddress().equals(discoveryAddress)) {
@@ -52,6 +55,6 @@
 
   private void logIgnored(String field) {
     logger.log(
-        LogLevel.WARN, "ignored the new value of " + field + ": it changes only at a restart");
+        LogLevel.WARN, "ignored the new value of " + field + ": a change requires a restart");
   }
 }
--- a/router/src/main/java/rushwood/server/ConfigReloader.java
+++ b/router/src/main/java/rushwood/server/ConfigReloader.java
@@ -15,23 +15,24 @@
 import rushwood.dispatch.TimerQueue;
 
 /**
- * Reads the configuration again on SIGHUP:
+ * Reloads the configuration on SIGHUP:
  *
  * <ol>
- *   <li>The file is read and decoded as a whole, on a thread of its own.
- *   <li>A valid configuration is handed to a consumer on the event loop; {@link ConfigApplier} says
- *       what of it takes effect and which state survives.
- *   <li>An invalid one changes nothing. Its first invalid field is logged, and the file is read
- *       again every half second for ten seconds, or until another SIGHUP: it may be half written.
+ *   <li>The whole file is read and decoded on a separate thread, so that the event loop does not
+ *       block.
+ *   <li>A valid configuration is passed to a consumer on the event loop; see {@link ConfigApplier}
+ *       for the fields that take effect.
+ *   <li>An invalid configuration changes nothing. Its first invalid field is logged, and the file
+ *       is read again every half second for ten seconds or until the next SIGHUP, because it may
+ *       have been only partly written.
  * </ol>
  *
- * <p>Used on the event loop only, but for the reading.
+ * <p>Used on the event loop only, except for the task that reads the file.
  */
 final class ConfigReloader {
-  /** How long after a file could not be used it is read again. */
   private static final long RETRY_INTERVAL_NANOS = 500_000_000L;
 
-  /** A file that stays invalid for ten seconds is not being written. */
+  /** Ten seconds of attempts: a file that is still invalid by then is not being written. */
   private static final int MAX_ATTEMPTS = 20;
 
   private final Map<String, String> environment;
@@ -41,14 +42,14 @@
   private final Counters counters;
   private final RateLimitedLogger logger;
   private final Consumer<RouterConfig> onConfigAccepted;
-  private @Nullable ExecutorService reader; // created with the first signal
+  private @Nullable ExecutorService reader; // created on the first signal
   private int signalCount;
 
   /**
-   * Creates a reloader that does nothing until {@link #listen}.
+   * Creates a reloader that does nothing until {@link #reloadOn}.
    *
-   * @param environment names the configuration's file
-   * @param onConfigAccepted receives each new configuration, on the event loop
+   * @param environment the environment variables, which name the configuration file
+   * @param onConfigAccepted receives each valid configuration, on the event loop
    */
   ConfigReloader(
       Map<String, String> environment,
@@ -67,8 +68,8 @@
     this.onConfigAccepted = onConfigAccepted;
   }
 
-  /** Reads the configuration again on each signal from now on, and at once if one is pending. */
-  void listen(HangUpSignal hangUpSignal) {
+  /** Reloads the configuration on each signal from now on, and at once if one is pending. */
+  void reloadOn(HangUpSignal hangUpSignal) {
     hangUpSignal.forwardTo(() -> eventLoop.execute(this::onHangUp));
   }
 
@@ -78,8 +79,8 @@
   }
 
   /**
-   * The reader's thread. It is a single one, so that results arrive in the order of the signals and
-   * an older configuration never replaces a newer one.
+   * Returns the executor that reads the file. It has a single thread, so that results arrive in the
+   * order of the signals and an older configuration never replaces a newer one.
    */
   private Executor reader() {
     if (reader == null) {
@@ -94,7 +95,7 @@
     return thread;
   }
 
-  private void read(int signal, int attempt, String previousReason) {
+  private void read(int signalNumber, int attempt, String previousError) {
     reader()
         .execute(
             () -> {
@@ -103,7 +104,7 @@
                 eventLoop.execute(() -> onAccepted(config));
               } catch (InvalidConfigException e) {
                 eventLoop.execute(
-                    () -> onRejected(signal, attempt, previousReason, e.getMessage()));
+                    () -> onRejected(signalNumber, attempt, previousError, e.getMessage()));
               }
             });
   }
@@ -114,23 +115,24 @@
   }
 
   /**
-   * Keeps the configuration in force and reads the file again later, unless a newer signal has done
-   * so: the file may be half written or just being moved into place.
+   * Keeps the current configuration and schedules another attempt, because the file may be partly
+   * written or not moved into place yet. A newer signal ends the attempts for an older one. An
+   * error is logged and counted once as long as it stays the same.
    */
-  private void onRejected(int signal, int attempt, String previousReason, String reason) {
-    if (!reason.equals(previousReason)) {
+  private void onRejected(int signalNumber, int attempt, String previousError, String error) {
+    if (!error.equals(previousError)) {
       counters.increment(Counter.CONFIGS_REJECTED);
-      logger.log(LogLevel.WARN, "ignored the new configuration: " + reason);
+      logger.log(LogLevel.WARN, "ignored the new configuration: " + error);
     }
-    if (signal == signalCount && attempt < MAX_ATTEMPTS) {
+    if (signalNumber == signalCount && attempt < MAX_ATTEMPTS) {
       long retryTime = clock.now() + RETRY_INTERVAL_NANOS;
-      timerQueue.schedule(retryTime, () -> retry(signal, attempt, reason));
+      timerQueue.schedule(retryTime, () -> retry(signalNumber, attempt, error));
     }
   }
 
-  private void retry(int signal, int attempt, String reason) {
-    if (signal == signalCount) {
-      read(signal, attempt + 1, reason);
+  private void retry(int signalNumber, int attempt, String error) {
+    if (signalNumber == signalCount) {
+      read(signalNumber, attempt + 1, error);
     }
   }
 }
--- a/router/src/main/java/rushwood/server/EndpointListHandler.java
+++ b/router/src/main/java/rushwood/server/EndpointListHandler.java
@@ -10,15 +10,15 @@
 import rushwood.dispatch.RequestDispatcher;
 
 /**
- * Hands what discovery sends to the dispatcher, and counts and logs it. Used on the event loop
- * only.
+ * Passes endpoint lists from discovery to the dispatcher, counts them, and logs problems. Used on
+ * the event loop only.
  */
 final class EndpointListHandler implements DiscoveryClient.Listener {
   private final RequestDispatcher dispatcher;
   private final Counters counters;
   private final RateLimitedLogger logger;
   private final Runnable onCompleteList;
-  private String currentProblem = ""; // the last one logged; empty once discovery works again
+  private String currentProblem = ""; // last one logged; empty while discovery works
 
   EndpointListHandler(
       RequestDispatcher dispatcher,
@@ -68,10 +68,10 @@
   public void problemFound(String problem) {
     counters.increment(Counter.ENDPOINT_LISTS_MALFORMED);
     logProblem(
-        "discovery sent an endpoint list with an error, its other entries are used: " + problem);
+        "discovery sent an endpoint list with an error; using its other entries: " + problem);
   }
 
-  /** Logs a problem once, however often it is met in a row. */
+  /** Logs a problem once until a different one occurs or discovery works again. */
   private void logProblem(String problem) {
     if (!problem.equals(currentProblem)) {
       currentProblem = problem;
--- a/router/src/main/java/rushwood/server/EventLoopTimer.java
+++ b/router/src/main/java/rushwood/server/EventLoopTimer.java
@@ -9,7 +9,7 @@
 /** A one-shot timer on an event loop. Used on that event loop only. */
 final class EventLoopTimer implements TimerQueue.Timer {
   private final EventLoop eventLoop;
-  private @Nullable Future<?> scheduled;
+  private @Nullable Future<?> scheduledTask;
   private boolean closed;
 
   EventLoopTimer(EventLoop eventLoop) {
@@ -19,18 +19,18 @@
   @Override
   public void reschedule(long delayNanos, Runnable task) {
     cancel();
-    scheduled = closed ? null : eventLoop.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
+    scheduledTask = closed ? null : eventLoop.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Cancels what is scheduled; later calls of {@link #reschedule} have no effect. */
+  /** Cancels the scheduled task; later calls of {@link #reschedule} have no effect. */
   void close() {
     closed = true;
     cancel();
   }
 
   private void cancel() {
-    if (scheduled != null) {
-      scheduled.cancel(false);
+    if (scheduledTask != null) {
+      scheduledTask.cancel(false);
     }
   }
 }
--- a/router/src/main/java/rushwood/server/HangUpSignal.java
+++ b/router/src/main/java/rushwood/server/HangUpSignal.java
@@ -4,20 +4,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * SIGHUP, handled from the first moment of the program on, as without a handler it ends the
- * process. A signal that comes before there is a receiver is kept for it: the configuration that
- * has been read by then may be the old one.
+ * Handler of SIGHUP. It is installed first thing in the program, because an unhandled SIGHUP
+ * terminates the process. A signal that arrives before {@link #forwardTo} is kept pending, because
+ * the configuration that the router started with may have been read before the change.
  *
- * <p>Signals come on a thread of the virtual machine; this object's lock guards its state.
+ * <p>Signals arrive on a thread of the Java virtual machine; this object's lock guards its state.
  */
 public final class HangUpSignal {
-  private @Nullable Runnable receiver; // null until there is one
+  private @Nullable Runnable receiver; // null until forwardTo
   private boolean pending;
 
   private HangUpSignal() {}
 
   /**
-   * Installs the handler, by reflection since the compiler warns of {@code sun.misc} classes.
+   * Installs the handler. Uses reflection because the compiler warns about {@code sun.misc}
+   * classes.
    *
    * @throws ReflectiveOperationException if this Java runtime has no {@code sun.misc.Signal}
    */
@@ -46,7 +47,10 @@
     }
   }
 
-  /** Runs {@code newReceiver} on each signal from now on, and at once if one is pending. */
+  /**
+   * Runs {@code newReceiver} on each signal from now on, on the thread that the signal arrives on,
+   * and at once on the calling thread if a signal is pending.
+   */
   synchronized void forwardTo(Runnable newReceiver) {
     receiver = newReceiver;
     if (pending) {
--- a/router/src/main/java/rushwood/server/MillisecondWaitStrategy.java
+++ b/router/src/main/java/rushwood/server/MillisecondWaitStrategy.java
@@ -7,18 +7,18 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Makes the event loop wait up to the next whole millisecond for a timer that is due within one.
+ * Rounds the wait of the event loop for its next timer up to a whole millisecond.
  *
- * <p>Netty's selector waits for a whole number of milliseconds, rounded to the nearest. If that is
- * too short it polls the sockets without a wait until the timer is due, for up to half a
- * millisecond at each timer. A router has part of a core only and can better afford timers that
- * fire up to a millisecond late.
+ * <p>Netty's selector waits for a whole number of milliseconds, rounded to the nearest. If it
+ * rounds down, the event loop spins until the timer is due, for up to half a millisecond per timer.
+ * A router has only part of a core, so timers that fire up to a millisecond late cost it less than
+ * spinning.
  */
 final class MillisecondWaitStrategy implements IoHandler {
-  /** What Netty adds to a delay before it cuts off the fraction of a millisecond. */
+  /** Netty adds this to a delay before it truncates the delay to whole milliseconds. */
   private static final long HALF_MILLISECOND_NANOS = 500_000;
 
-  /** A longer delay stands for no timer at all. */
+  /** A longer delay means that no timer is scheduled. */
   private static final long MAX_DELAY_NANOS = Long.MAX_VALUE / 2;
 
   private final IoHandler delegate;
@@ -27,12 +27,12 @@
     this.delegate = delegate;
   }
 
-  /** Returns a factory whose handlers are those of {@code factory}, with delays rounded up. */
+  /** Returns a factory that wraps the handlers of {@code factory} in this wait strategy. */
   static IoHandlerFactory wrap(IoHandlerFactory factory) {
     return executor -> new MillisecondWaitStrategy(factory.newHandler(executor));
   }
 
-  /** The context that the event loop gives, with its delay rounded up to a whole millisecond. */
+  /** Delegates to the event loop's context, with the delay rounded up to a whole millisecond. */
   private record RoundedUpContext(IoHandlerContext delegate) implements IoHandlerContext {
     @Override
     public boolean canBlock() {
--- a/router/src/main/java/rushwood/server/RateLimitedLogger.java
+++ b/router/src/main/java/rushwood/server/RateLimitedLogger.java
@@ -5,19 +5,19 @@
 import rushwood.dispatch.EventLoopClock;
 
 /**
- * A log with a limit on lines per second, so that a flood of events does not fill the disk. Used on
- * the event loop only.
+ * A logger with a limit on lines per second, so that a flood of events does not fill the disk. Used
+ * on the event loop only.
  */
 final class RateLimitedLogger {
   private static final long WINDOW_NANOS = 1_000_000_000L;
 
-  /** More lines than a router logs in a second of normal service, and few enough to read. */
+  /** More than a router logs in a second of normal service, but few enough to read. */
   private static final int MAX_LINES_PER_WINDOW = 20;
 
   private final EventLoopClock clock;
   private long windowStart;
-  private int logged;
-  private int suppressed;
+  private int loggedLines;
+  private int suppressedLines;
 
   RateLimitedLogger(EventLoopClock clock) {
     this.clock = clock;
@@ -29,11 +29,11 @@
     if (clock.now() - windowStart >= WINDOW_NANOS) {
       startWindow();
     }
-    if (logged < MAX_LINES_PER_WINDOW) {
-      logged++;
+    if (loggedLines < MAX_LINES_PER_WINDOW) {
+      loggedLines++;
       write(level, line);
     } else {
-      suppressed++;
+      suppressedLines++;
     }
   }
 
@@ -46,11 +46,14 @@
   }
 
   private void startWindow() {
-    if (suppressed > 0) {
-      Logger.warn("suppressed {} log lines: over {} in a second", suppressed, MAX_LINES_PER_WINDOW);
+    if (suppressedLines > 0) {
+      Logger.warn(
+          "suppressed {} log lines: more than {} in one second",
+          suppressedLines,
+          MAX_LINES_PER_WINDOW);
     }
     windowStart = clock.now();
-    logged = 0;
-    suppressed = 0;
+    loggedLines = 0;
+    suppressedLines = 0;
   }
 }
--- a/router/src/main/java/rushwood/server/RequestPathFactory.java
+++ b/router/src/main/java/rushwood/server/RequestPathFactory.java
@@ -25,9 +25,11 @@
 import rushwood.policy.DefaultRoutingPolicy;
 
 /**
- * Creates the parts that a request passes through, from the client's connection over the routing
- * policy to the connection to a backend, in the same way for the server and for its warm-up. All
- * parts of one factory share its clock, timers, counters and limits. Used on the event loop only.
+ * Creates the components that a request passes through: the frontend, the routing policy and the
+ * dispatcher. The server and its warm-up both use this factory, so that the warm-up runs the same
+ * code. Components of one factory share its clock, timers, counters and limits.
+ *
+ * <p>Used on the event loop only.
  */
 final class RequestPathFactory {
   private final RouterConfig config;
@@ -55,9 +57,9 @@
   /**
    * Creates a dispatcher without endpoints.
    *
-   * @param logger takes the policy's log messages
-   * @param policyFactory makes the policy, of {@link #createPolicy}, from its actions; called once,
-   *     before this returns
+   * @param logger receives the policy's log lines
+   * @param policyFactory creates the policy with {@link #createPolicy}, given the actions that the
+   *     policy may take; called once, before this method returns
    */
   RequestDispatcher createDispatcher(
       BackendConnection.Connector backendConnector,
@@ -80,8 +82,8 @@
   }
 
   /**
-   * Creates the routing policy behind its overload control. Its random choices follow the seed of
-   * the configuration.
+   * Creates the routing policy, wrapped in overload control. Its random choices are seeded from the
+   * configuration.
    */
   OverloadController createPolicy(OverloadSettings overloadSettings, PolicyActions actions) {
     return new OverloadController(
@@ -101,8 +103,9 @@
   /**
    * Creates the handler of client connections.
    *
-   * @param retryAfterNanos the wait that a refused client is told, not positive for none
-   * @param random the source of the secret part of cancel keys
+   * @param retryAfterNanos supplies the Retry-After for a client whose connection is refused, in
+   *     nanoseconds; zero or less for none
+   * @param random generates the secret part of cancel keys
    */
   FrontendServer createFrontend(
       RequestDispatcher dispatcher,
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -26,16 +26,16 @@
 import rushwood.overload.OverloadCounts;
 
 /**
- * Creates the parts of a router and connects them with each other. Used on the event loop only.
+ * Creates the components of a router and wires them together. Used on the event loop only.
  *
- * <p>Each part that draws random numbers has a source of its own, derived from the seed of the
- * configuration, so that the draws of one part do not change those of another.
+ * <p>Each component that draws random numbers has its own generator, derived from the configured
+ * seed, so that the draws of one component do not change those of another.
  */
 final class RouterAssembler {
   /**
-   * Descriptors of {@code limits.sockets} that neither admitted clients nor connections to backends
-   * use: 30 for the program's files, the event loop, the listener and discovery, the rest for
-   * clients that are being refused or whose connection is being closed.
+   * Descriptors of {@code limits.sockets} that are not available to admitted clients and backend
+   * connections: 30 are for files, the event loop, the listener and discovery, the rest for client
+   * connections that are being refused or closed.
    */
   private static final int RESERVED_SOCKETS = 54;
 
@@ -51,7 +51,7 @@
   private final DescriptorBudget descriptorBudget;
   private final RequestPathFactory requestPathFactory;
 
-  @SuppressWarnings("NullAway.Init") // set by createPolicy, before createDispatcher returns
+  @SuppressWarnings("NullAway.Init") // set by createPolicy, which createDispatcher calls
   private OverloadController overloadController;
 
   RouterAssembler(
@@ -76,7 +76,7 @@
   }
 
   /**
-   * Creates the parts; the dispatcher starts with the last known endpoint list.
+   * Creates the components. The dispatcher starts with the last known endpoint list.
    *
    * @param onCompleteList runs whenever discovery has sent a complete endpoint list
    */
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Wakes the event loop at a fixed interval even while nothing happens, so that the clock can tell
-   * a suspended process from an idle one.
+   * Wakes the event loop at a fixed interval even if it is idle, so that the clock can tell a
+   * paused process from an idle one.
    */
   private void scheduleHeartbeat() {
     timerQueue.schedule(
@@ -147,7 +147,7 @@
         listener);
   }
 
-  /** Returns the version of the list held from an earlier process, 0 if there is none. */
+  /** Returns the version of the last known endpoint list, 0 if it has none or is missing. */
   private long lastKnownVersion() {
     Optional<EndpointList> list = config.lastKnownEndpoints();
     return list.isPresent() ? list.get().version().orElse(0) : 0;
--- a/router/src/main/java/rushwood/server/RouterComponents.java
+++ b/router/src/main/java/rushwood/server/RouterComponents.java
@@ -8,14 +8,14 @@
 import rushwood.net.FrontendServer;
 
 /**
- * The parts of one running router. All of them belong to the event loop and are used on it only.
+ * The components of one running router. All of them are used on its event loop only.
  *
- * @param clock time as of the current turn of the event loop
- * @param timerQueue everything that is due later
- * @param counters what {@code SHOW counters} prints
- * @param logger the log, limited in lines per second
- * @param dispatcher requests in flight, with the routing policy and the connections to backends
- * @param frontend client connections; the handler of the listening socket's children
+ * @param clock the time of the current turn of the event loop
+ * @param timerQueue the tasks that are scheduled for later
+ * @param counters the counters that {@code SHOW counters} returns
+ * @param logger the logger, limited in lines per second
+ * @param dispatcher the requests in flight, the routing policy and the backend connections
+ * @param frontend the client connections; child handler of the listening socket
  * @param discoveryClient the source of endpoint lists
  */
 record RouterComponents(
--- a/router/src/main/java/rushwood/server/RouterServer.java
+++ b/router/src/main/java/rushwood/server/RouterServer.java
@@ -18,14 +18,12 @@
 /**
  * One running router.
  *
- * <p>{@link #start} and {@link #stop} are called by two threads, the main thread and the shutdown
- * hook; all else runs on the event loop. This object's lock orders the two: a stop sees either no
- * listener or one that is bound.
+ * <p>The main thread calls {@link #start}, the shutdown hook calls {@link #stop}; everything else
+ * runs on the event loop. This object's lock orders the two calls: {@code stop} sees either no
+ * listener or a bound one.
  */
 public final class RouterServer {
-  /**
-   * How long a start waits for discovery, which runs on this machine and usually answers at once.
-   */
+  /** The discovery agent runs on the same machine and usually answers at once. */
   private static final long FIRST_LIST_TIMEOUT_MILLIS = 1000;
 
   private final RouterConfig config;
@@ -38,14 +36,15 @@
   private final CountDownLatch firstListReceived = new CountDownLatch(1);
   private final CountDownLatch stopped = new CountDownLatch(1);
   private volatile boolean stopRequested;
-  private @Nullable LongConsumer shutdown; // set under the lock once the router listens
+  private @Nullable LongConsumer shutdownTask; // takes the time of the signal; guarded by this
   private boolean stopping; // used on the event loop only
 
   /**
    * Creates a router that does nothing until {@link #start}.
    *
-   * @param environment names the configuration's file, which is read again on SIGHUP
-   * @param hangUpSignal receives SIGHUP, also before this router is ready for it
+   * @param environment the environment variables, which name the configuration file; it is read
+   *     again on SIGHUP
+   * @param hangUpSignal the handler of SIGHUP, which keeps a signal that arrives during the start
    */
   public RouterServer(
       RouterConfig config,
@@ -59,8 +58,8 @@
   }
 
   /**
-   * Warms the code up, starts the router and returns once it listens for clients. Returns without
-   * listening if {@link #stop} was called meanwhile. Called by the main thread.
+   * Runs the warm-up, starts the router and returns once it listens for clients. Returns without
+   * listening if {@link #stop} was called in the meantime. Called by the main thread.
    *
    * @throws Exception if the warm-up fails or the address cannot be bound
    */
@@ -86,7 +85,7 @@
             components.counters(),
             components.logger(),
             newConfig -> applyUnlessStopping(applier, newConfig))
-        .listen(hangUpSignal);
+        .reloadOn(hangUpSignal);
     return components;
   }
 
@@ -97,8 +96,9 @@
   }
 
   /**
-   * Waits for a list from discovery before clients come, as endpoints that the last known list
-   * calls ready may have been removed. Without discovery the last known list is used.
+   * Waits for an endpoint list from discovery before clients are accepted, because endpoints that
+   * are ready in the last known list may have been removed. If none arrives in time, the router
+   * starts with the last known list.
    */
   private void awaitEndpointList() throws InterruptedException {
     if (!firstListReceived.await(FIRST_LIST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Binds the address. A stop that comes while this binds waits for it and then serves first, as
-   * clients may have connected.
+   * Binds the listen address. A concurrent {@link #stop} waits for the bind and then shuts down
+   * gracefully, because clients may have connected.
    */
   private synchronized void listen(RouterComponents components)
       throws IOException, InterruptedException {
@@ -117,21 +117,21 @@
     }
     ClientListener listener =
         ClientListener.bind(eventLoopGroup, config.listenAddress(), components.frontend());
-    shutdown = signalledAt -> startShutdown(components, listener, signalledAt);
+    shutdownTask = signalledAt -> startShutdown(components, listener, signalledAt);
     Logger.info("{} serves at {}", config.name(), listener.localAddress());
   }
 
   /**
-   * Shuts down gracefully, see {@link ShutdownSequence}, and blocks until that is done; returns at
-   * once if the router does not listen yet. Called by the shutdown hook; the event loop itself ends
-   * with the process.
+   * Shuts down gracefully as {@link ShutdownSequence} describes, and blocks until that is done.
+   * Returns at once if the router does not listen yet. Called by the shutdown hook; the event loop
+   * is not stopped and ends with the process.
    */
   public void stop() {
     long signalledAt = System.nanoTime();
     stopRequested = true;
     LongConsumer task;
     synchronized (this) {
-      task = shutdown;
+      task = shutdownTask;
     }
     if (task == null) {
       Logger.info("shutting down: not listening yet");
@@ -141,12 +141,13 @@
     awaitStopped(signalledAt);
   }
 
-  /** Waits no longer than until the process has to exit, whatever the event loop is busy with. */
+  /** Waits for the shutdown, but not past the time at which the Java runtime has to exit. */
   private void awaitStopped(long signalledAt) {
-    long end = signalledAt + ShutdownSequence.maxDurationNanos(config.maxRequestTimeoutNanos());
+    long deadline =
+        signalledAt + ShutdownSequence.maxDurationNanos(config.maxRequestTimeoutNanos());
     try {
-      if (!stopped.await(end - System.nanoTime(), TimeUnit.NANOSECONDS)) {
-        Logger.warn("the shutdown was not finished in time");
+      if (!stopped.await(deadline - System.nanoTime(), TimeUnit.NANOSECONDS)) {
+        Logger.warn("the shutdown did not finish in time");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -7,21 +7,21 @@
 import rushwood.net.FrontendServer;
 
 /**
- * What happens between SIGTERM and exit. Times count from the signal; T is the longest that any
- * client waits for an answer, but 3 s at most. The values on the right hold for T = 3 s.
+ * The graceful shutdown of a router, from SIGTERM to exit. Times count from the signal. T is the
+ * longest request timeout of any client, at most 3 s; times in parentheses are for T = 3 s.
  *
  * <ol>
- *   <li>At once: the routing policy is told the time of the last answer, T + 0.5 s (3.5 s), by
- *       which it answers every request that it holds. Connections are still accepted. To make room
- *       for others, only those are closed that have never sent a request; idle ones are kept.
- *   <li>Until T + 0.2 s (3.2 s), earlier by twice the longest recent pause of the process, but
- *       never before 0.55 s: requests on open and on new connections are served as before.
+ *   <li>At once: the routing policy is told the time of the last answer, T + 0.5 s (3.5 s), and
+ *       answers every request that it holds by then. Connections are still accepted. Only those
+ *       that have never sent a request are closed to make room for new ones; idle ones are kept.
+ *   <li>Until T + 0.2 s (3.2 s), less twice the longest recent pause of the process, but at least
+ *       until 0.55 s: requests on open and on new connections are served as usual.
  *   <li>Then the drain: each connection is closed as soon as it has no request, and new ones are
- *       refused. Checked every 50 ms.
- *   <li>Once no connection is left, at T + 0.4 s (3.4 s) at the latest: those that wait to be
- *       accepted are refused with an error too, and the listener is closed.
- *   <li>Once none of these is left, at T + 0.6 s (3.6 s) at the latest: all connections are closed,
- *       the counters are logged, and the process exits.
+ *       refused. Progress is checked every 50 ms.
+ *   <li>Once no connection is open, at T + 0.4 s (3.4 s) at the latest: connections in the accept
+ *       queue of the kernel are refused with an error too, and the listener is closed.
+ *   <li>Once the listener is closed and no connection is open, at T + 0.6 s (3.6 s) at the latest:
+ *       all remaining connections are closed, the counters are logged, and the process exits.
  *   <li>T + 0.7 s (3.7 s): the earliest SIGKILL.
  * </ol>
  *
@@ -31,44 +31,44 @@
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /**
-   * The platform sends SIGKILL this long plus the longest request timeout after SIGTERM, however
-   * soon the process exits, and counts {@link #MAX_COUNTED_REQUEST_TIMEOUT_NANOS} of the timeout at
-   * most. Clients are served until then, as the load balancer in front of the routers goes on
-   * sending them here.
+   * The platform sends SIGKILL this long plus the longest request timeout after SIGTERM, and counts
+   * at most {@link #MAX_COUNTED_REQUEST_TIMEOUT_NANOS} of the timeout. Clients are served until
+   * then, because the load balancer in front of the routers keeps sending them here even if the
+   * process exits earlier.
    */
   private static final long KILL_GRACE_NANOS = 700 * NANOS_PER_MILLI;
 
   private static final long MAX_COUNTED_REQUEST_TIMEOUT_NANOS = 3000 * NANOS_PER_MILLI;
 
-  /** From the last answer to SIGKILL: covers a short suspension and the time to exit. */
+  /** Time from the last answer to SIGKILL, for a short suspension and the exit of the process. */
   private static final long EXIT_RESERVE_NANOS = 200 * NANOS_PER_MILLI;
 
-  /** From the start of the drain to the last answer: most requests are answered in less. */
+  /** Time from the start of the drain to the last answer; most requests take less. */
   private static final long DRAIN_RESERVE_NANOS = 300 * NANOS_PER_MILLI;
 
   /**
-   * The drain starts earlier by this many times the longest recent pause: a process that was
-   * suspended lately may be again, and one that is suspended just before it ends leaves requests
-   * without an answer.
+   * The drain starts earlier by this multiple of the longest recent pause. A process that was
+   * suspended recently may be suspended again, and if that happens just before it exits, requests
+   * stay unanswered.
    */
-  private static final int RESERVED_PAUSES = 2;
+  private static final int PAUSE_RESERVE_FACTOR = 2;
 
   /**
-   * The drain starts this long after SIGTERM at the earliest: new connections still come for a
-   * while, and the platform counts no request as lost that comes in the first 0.7 s.
+   * The drain starts this long after SIGTERM at the earliest, because new connections still arrive
+   * for a while. The platform does not count requests as lost that arrive in the first 0.7 s.
    */
   private static final long MIN_SERVING_NANOS = 550 * NANOS_PER_MILLI;
 
-  /** How long SIGTERM takes to reach the shutdown hook: two threads start for it. */
-  private static final long SIGNAL_DELAY_NANOS = 100 * NANOS_PER_MILLI;
+  /** The longest time from SIGTERM to the shutdown hook, which takes the start of two threads. */
+  private static final long MAX_SIGNAL_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
-  /** From the end of the sequence to SIGKILL, for the Java runtime to end. */
+  /** Time from the end of the sequence to SIGKILL, for the Java runtime to exit. */
   private static final long RUNTIME_EXIT_NANOS = 100 * NANOS_PER_MILLI;
 
-  /** Between two checks whether it is time to drain, or whether all is answered. */
+  /** Interval of the checks whether to start the drain, and whether the drain is complete. */
   private static final long CHECK_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
 
-  /** From the end of the listener to the last answer: who was accepted last is told to go. */
+  /** Time from closing the listener to the last answer, to refuse connections accepted last. */
   private static final long LISTENER_RESERVE_NANOS = 2 * CHECK_INTERVAL_NANOS;
 
   private final EventLoopClock clock;
@@ -81,12 +81,12 @@
   private final long lastAnswerTime;
 
   /**
-   * Plans the shutdown from the moment of the signal; {@link #start} begins it.
+   * Computes the times of the shutdown, which begins with {@link #start}.
    *
    * @param maxRequestTimeoutNanos the longest that any client waits for an answer
-   * @param hookDelayNanos how long ago the shutdown hook ran: it may have had to wait for the start
-   *     of the router to finish, and for the event loop
-   * @param onDrained closes everything; runs once, when no connection is left or the last answer is
+   * @param hookDelayNanos time since the shutdown hook was called, which may have waited for the
+   *     start of the router to finish and for the event loop
+   * @param onDrained closes everything; runs once, when no connection is open or the last answer is
    *     overdue
    */
   ShutdownSequence(
@@ -101,9 +101,9 @@
     frontend = components.frontend();
     this.listener = listener;
     this.onDrained = onDrained;
-    // A signal that came while the process was suspended may have come at the pause's start.
+    // A signal that arrived during a pause of the process may have been sent at its start.
     long hookTime = clock.now() - hookDelayNanos;
-    long signalTime = Math.min(clock.earliestArrival(SIGNAL_DELAY_NANOS), hookTime);
+    long signalTime = Math.min(clock.earliestArrival(MAX_SIGNAL_DELAY_NANOS), hookTime);
     long killTime = signalTime + killDelayNanos(maxRequestTimeoutNanos);
     earliestDrainTime = signalTime + MIN_SERVING_NANOS;
     lastAnswerTime = killTime - EXIT_RESERVE_NANOS;
@@ -113,12 +113,12 @@
     return Math.min(maxRequestTimeoutNanos, MAX_COUNTED_REQUEST_TIMEOUT_NANOS) + KILL_GRACE_NANOS;
   }
 
-  /** How long after SIGTERM the Java runtime has to begin to end, in nanoseconds. */
+  /** Returns the time from SIGTERM to the end of the sequence at the latest, in nanoseconds. */
   static long maxDurationNanos(long maxRequestTimeoutNanos) {
     return killDelayNanos(maxRequestTimeoutNanos) - RUNTIME_EXIT_NANOS;
   }
 
-  /** Tells the parts that the router shuts down and serves on until it is time to drain. */
+  /** Announces the shutdown to the components; requests are served until it is time to drain. */
   void start() {
     dispatcher.shuttingDown(lastAnswerTime);
     frontend.shuttingDown();
@@ -126,12 +126,12 @@
   }
 
   /**
-   * Drains at once when the time has come: one turn of the event loop later more requests may have
-   * been read.
+   * Checks whether it is time to drain. The drain starts in the same turn of the event loop,
+   * because more requests may have been read by the next one.
    */
   private void serveUntilDrainTime() {
     long now = clock.now();
-    long pauseReserve = RESERVED_PAUSES * clock.recentLongestPause();
+    long pauseReserve = PAUSE_RESERVE_FACTOR * clock.recentLongestPause();
     long drainTime =
         Math.max(earliestDrainTime, lastAnswerTime - DRAIN_RESERVE_NANOS - pauseReserve);
     if (now >= drainTime) {
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Closes connections without a request until none is left. All requests have an answer by the
-   * last answer time; the interval after it lets the answers be written and the connections end.
+   * Closes connections without a request until none is open. All requests are answered by {@code
+   * lastAnswerTime}; one more interval leaves time to write the answers and close the connections.
    */
   private void drain() {
     frontend.drain();
--- a/router/src/main/java/rushwood/server/Warmup.java
+++ b/router/src/main/java/rushwood/server/Warmup.java
@@ -32,33 +32,33 @@
 import rushwood.overload.OverloadSettings;
 
 /**
- * Sends requests through a router of its own before the real one listens, so that the code is
- * loaded and compiled by then. While that still goes on, the first second of service takes a whole
- * core; with only part of a core the first clients would wait past their deadlines.
+ * Sends requests through a temporary router before the real one listens, so that the classes are
+ * loaded and the code is compiled by then. Without a warm-up the first second of service takes a
+ * whole core; with only part of a core the first clients would wait past their deadlines.
  *
- * <p>{@link WarmupTraffic} has the clients and backends, on sockets in a temporary folder. {@link
- * #run} is called by the main thread; all else runs on the event loop.
+ * <p>{@link WarmupTraffic} provides the clients and backends, on sockets in a temporary directory.
+ * {@link #run} is called by the main thread; everything else runs on the event loop.
  */
 final class Warmup {
   private static final int BACKEND_COUNT = 4;
 
-  /** Leaves 24 descriptors to the backends, twice as many as there are requests at once. */
+  /** Leaves 24 descriptors for backend connections, twice the number of concurrent requests. */
   private static final int DESCRIPTORS_PER_CLIENT = 5;
 
   /**
-   * The compiler takes a method after 200 calls; with this many requests rarely called methods
-   * reach that number too.
+   * The JIT compiler compiles a method after 200 calls; with this many requests, rarely called
+   * methods reach that number too.
    */
   private static final int MAX_REQUESTS = 6000;
 
   /** A longer warm-up would delay the start by more than it saves. */
   private static final long MAX_DURATION_NANOS = 900_000_000;
 
-  /** Interval between two checks whether the warm-up has sent enough requests. */
+  /** Interval of the checks whether the warm-up is over. */
   private static final long CHECK_INTERVAL_NANOS = 10_000_000;
 
   private final RouterConfig config;
-  private final EventLoopGroup group;
+  private final EventLoopGroup eventLoopGroup;
   private final SingleThreadEventLoop eventLoop;
   private final ByteBufAllocator allocator;
   private final Counters counters = new Counters();
@@ -66,24 +66,27 @@
   private final CompletableFuture<Counters> finished = new CompletableFuture<>();
 
   /**
-   * Creates a warm-up with the settings that the real router has.
+   * Creates a warm-up with the settings of the real router.
    *
-   * @param group the group whose only event loop is {@code eventLoop}
-   * @param allocator of the buffers of the requests sent to backends
+   * @param eventLoopGroup the group whose only event loop is {@code eventLoop}
+   * @param allocator allocates the buffers of requests to backends
    */
   Warmup(
-      RouterConfig config, EventLoopGroup group, EventLoop eventLoop, ByteBufAllocator allocator) {
+      RouterConfig config,
+      EventLoopGroup eventLoopGroup,
+      EventLoop eventLoop,
+      ByteBufAllocator allocator) {
     this.config = config;
-    this.group = group;
+    this.eventLoopGroup = eventLoopGroup;
     this.eventLoop = (SingleThreadEventLoop) eventLoop;
     this.allocator = allocator;
     timer = new EventLoopTimer(eventLoop);
   }
 
   /**
-   * Runs the warm-up and blocks until it is over, for 0.9 s at most.
+   * Runs the warm-up and blocks until it is over, after about 0.9 s at the latest.
    *
-   * @throws Exception if the sockets cannot be created, or a part cannot be started
+   * @throws Exception if the sockets cannot be created or a component cannot be started
    */
   void run() throws Exception {
     run(MAX_DURATION_NANOS);
@@ -92,18 +95,18 @@
   /**
    * Runs the warm-up and blocks until it is over.
    *
-   * @return the counters of its requests, by which a test sees that it still does something
+   * @return the counters of its requests, which tests check
    */
   Counters run(long maxDurationNanos) throws Exception {
-    Path folder = Files.createTempDirectory("warmup");
+    Path directory = Files.createTempDirectory("warmup");
     WarmupTraffic traffic =
-        new WarmupTraffic(group, eventLoop, folder, config.settings().requestClasses());
+        new WarmupTraffic(eventLoopGroup, eventLoop, directory, config.settings().requestClasses());
     try {
       eventLoop.submit(() -> start(traffic, maxDurationNanos)).get();
       return finished.get();
     } finally {
       traffic.deleteSockets();
-      Files.deleteIfExists(folder);
+      Files.deleteIfExists(directory);
     }
   }
 
@@ -121,7 +124,7 @@
     RequestDispatcher dispatcher =
         requestPathFactory.createDispatcher(
             createBackendConnector(traffic),
-            (level, line) -> {}, // nothing is logged
+            (level, line) -> {}, // log lines of the warm-up are dropped
             actions -> requestPathFactory.createPolicy(OverloadSettings.DEFAULT, actions));
     FrontendServer frontend =
         requestPathFactory.createFrontend(
@@ -131,7 +134,7 @@
             new SplittableRandom(config.seed()));
     dispatcher.endpointsReplaced(createEndpoints(), true);
     traffic.start(frontend);
-    awaitEnd(traffic, dispatcher, endTime);
+    finishWhenDone(traffic, dispatcher, endTime);
   }
 
   private BackendConnector createBackendConnector(WarmupTraffic traffic) {
@@ -160,20 +163,22 @@
     return endpoints;
   }
 
-  private void awaitEnd(WarmupTraffic traffic, RequestDispatcher dispatcher, long endTime) {
+  private void finishWhenDone(WarmupTraffic traffic, RequestDispatcher dispatcher, long endTime) {
     if (traffic.requestCount() < MAX_REQUESTS && System.nanoTime() < endTime) {
       eventLoop.schedule(
-          () -> awaitEnd(traffic, dispatcher, endTime), CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
+          () -> finishWhenDone(traffic, dispatcher, endTime),
+          CHECK_INTERVAL_NANOS,
+          TimeUnit.NANOSECONDS);
     } else {
-      end(traffic, dispatcher);
+      finish(traffic, dispatcher);
     }
   }
 
-  private void end(WarmupTraffic traffic, RequestDispatcher dispatcher) {
+  private void finish(WarmupTraffic traffic, RequestDispatcher dispatcher) {
     timer.close();
     dispatcher.close();
     traffic.close();
-    // Closing has taken effect on both sides a turn or two of the event loop later.
+    // Both sides see their connections closed within the next two turns of the event loop.
     eventLoop.schedule(
         () -> finished.complete(counters), 2 * CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
   }
--- a/router/src/main/java/rushwood/server/WarmupTraffic.java
+++ b/router/src/main/java/rushwood/server/WarmupTraffic.java
@@ -21,22 +21,22 @@
 import rushwood.net.WarmupClient;
 
 /**
- * The clients and backends of a warm-up, on Unix domain sockets in a folder. Each client sends one
- * request after the other and connects again whenever its connection is closed.
+ * The clients and backends of a warm-up, connected by Unix domain sockets. Each client sends one
+ * request after the other and reconnects whenever its connection is closed.
  *
- * <p>Used on the event loop only, but for {@link #deleteSockets}.
+ * <p>Used on the event loop only, except for {@link #deleteSockets}.
  */
 final class WarmupTraffic {
-  /** Clients that are connected at once: so many that some requests have to queue. */
+  /** Number of concurrent clients, high enough that some requests have to queue. */
   static final int CLIENT_COUNT = 12;
 
-  /** One request in so many has a deadline that cannot be met. */
+  /** Of this many successive requests, one has a deadline that cannot be met. */
   private static final int EXPIRED_REQUEST_INTERVAL = 16;
 
   private static final int EXPIRED_TIMEOUT_MILLIS = 1;
   private static final int REQUEST_TIMEOUT_MILLIS = 2000;
 
-  private final EventLoopGroup group;
+  private final EventLoopGroup eventLoopGroup;
   private final EventLoop eventLoop;
   private final UnixDomainSocketAddress clientAddress;
   private final UnixDomainSocketAddress backendAddress;
@@ -48,26 +48,29 @@
   /**
    * Creates traffic that does nothing until {@link #start}.
    *
-   * @param group the group whose only event loop is {@code eventLoop}
-   * @param folder where the sockets are created
-   * @param requestClasses the classes of the requests, in turn
+   * @param eventLoopGroup the group whose only event loop is {@code eventLoop}
+   * @param directory where the sockets are created
+   * @param requestClasses the classes of the requests, used in rotation
    */
   WarmupTraffic(
-      EventLoopGroup group, EventLoop eventLoop, Path folder, List<RequestClass> requestClasses) {
-    this.group = group;
+      EventLoopGroup eventLoopGroup,
+      EventLoop eventLoop,
+      Path directory,
+      List<RequestClass> requestClasses) {
+    this.eventLoopGroup = eventLoopGroup;
     this.eventLoop = eventLoop;
-    clientAddress = UnixDomainSocketAddress.of(folder.resolve("c"));
-    backendAddress = UnixDomainSocketAddress.of(folder.resolve("h"));
+    clientAddress = UnixDomainSocketAddress.of(directory.resolve("c"));
+    backendAddress = UnixDomainSocketAddress.of(directory.resolve("h"));
     this.requestClasses = requestClasses;
     channels = new DefaultChannelGroup(eventLoop);
   }
 
-  /** The socket at which all backends listen. */
+  /** Returns the address of the socket on which all backends accept connections. */
   UnixDomainSocketAddress backendAddress() {
     return backendAddress;
   }
 
-  /** How many requests the clients have sent. */
+  /** Returns how many requests the clients have sent. */
   int requestCount() {
     return requestCount;
   }
@@ -75,7 +78,7 @@
   /**
    * Starts the backends, then the clients.
    *
-   * @param frontend the handler of the router's client connections
+   * @param frontend the handler of client connections of the router that is warmed up
    */
   void start(ChannelHandler frontend) {
     listenForBackendConnections();
@@ -83,15 +86,15 @@
   }
 
   /**
-   * Closes all connections and listeners. What is not closed here would keep two dozen descriptors
-   * open for good.
+   * Closes all connections and listeners, which would otherwise keep two dozen descriptors open for
+   * the lifetime of the process.
    */
   void close() {
     closed = true;
     channels.close();
   }
 
-  /** Deletes the files of the sockets, as closing does not. Called by the main thread. */
+  /** Deletes the socket files, which closing does not do. Called by the main thread. */
   void deleteSockets() throws IOException {
     Files.deleteIfExists(clientAddress.getPath());
     Files.deleteIfExists(backendAddress.getPath());
@@ -119,7 +122,7 @@
 
   private ServerBootstrap serverBootstrap(ChannelHandler childHandler) {
     return new ServerBootstrap()
-        .group(group)
+        .group(eventLoopGroup)
         .channel(NioServerDomainSocketChannel.class)
         .childHandler(childHandler);
   }
@@ -130,7 +133,7 @@
     }
   }
 
-  /** Opens a client connection; each is replaced by a new one once it is closed. */
+  /** Opens a client connection and, once it is closed, another one until {@link #close}. */
   private void connectClient() {
     if (closed) {
       return;
--- a/router/src/main/java/rushwood/server/package-info.java
+++ b/router/src/main/java/rushwood/server/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Start and end of a router process: warm-up, wiring of the parts on one event loop, waiting for
+ * Lifecycle of a router process: warm-up, creation of the components on one event loop, waiting for
  * the first endpoint list, reload of the configuration on SIGHUP, graceful shutdown on SIGTERM.
  *
- * <p>{@link rushwood.server.RouterServer} is the entry point. Everything that it wires runs on a
- * single event loop; the few methods that other threads call say so.
+ * <p>{@link rushwood.server.RouterServer} is the entry point. All components run on a single event
+ * loop. Methods that are called by other threads say so in their documentation.
  */
 @NullMarked
 package rushwood.server;
