--- a/router/src/test/java/rushwood/ArchitectureTest.java
+++ b/router/src/test/java/rushwood/ArchitectureTest.java
@@ -17,14 +17,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The packages of the router depend on each other only as the table says, and it has no cycle. */
+/** Checks that packages of the router import only what the table below allows. */
 class ArchitectureTest {
   private static final Path SOURCES = Path.of("src/main/java/rushwood");
 
-  /** The package of {@link Main}. */
+  /** The package of {@link Main}, relative to {@code rushwood}. */
   private static final String ROOT = "";
 
-  /** For each package of the router those that it may import from. */
+  /** Maps each package of the router to the packages that it may import from. */
   private static final Map<String, Set<String>> ALLOWED_IMPORTS =
       Map.ofEntries(
           entry("api", Set.of()),
@@ -42,18 +42,18 @@
               Set.of("api", "policy", "overload", "dispatch", "discovery", "net", "config")),
           entry(ROOT, Set.of("config", "server", "simulator")));
 
-  /** Time and events are passed in to these, and what they decide is handed out. */
+  /** Packages that receive time and events as arguments and return or call back decisions. */
   private static final Set<String> PACKAGES_WITHOUT_IO =
       Set.of("api", "policy", "overload", "membership");
 
-  /** The only places that know channels and event loops. */
+  /** Packages that may use channels and event loops, besides {@link #DISCOVERY_CONNECTOR}. */
   private static final Set<String> PACKAGES_WITH_SOCKETS = Set.of("net", "server");
 
   private static final Path DISCOVERY_CONNECTOR =
       SOURCES.resolve("discovery/DiscoveryConnector.java");
 
   private static final Pattern IMPORT = Pattern.compile("import (?:static )?([\\w.]+);");
-  private static final Pattern OWN_IMPORT = Pattern.compile("rushwood\\.([a-z]+)\\..*");
+  private static final Pattern ROUTER_IMPORT = Pattern.compile("rushwood\\.([a-z]+)\\..*");
   private static final Pattern IO_IMPORT =
       Pattern.compile("(io\\.netty|java\\.io|java\\.net|java\\.nio\\.(channels|file))\\..*");
   private static final Pattern SOCKET_IMPORT =
@@ -64,10 +64,10 @@
       return packageOf(file);
     }
 
-    /** The package of the router that it imports from; its own one for an import from elsewhere. */
+    /** Returns the imported package, or the importing one if the type is not of the router. */
     String importedPackage() {
-      var own = OWN_IMPORT.matcher(imported);
-      return own.matches() ? own.group(1) : importingPackage();
+      var routerImport = ROUTER_IMPORT.matcher(imported);
+      return routerImport.matches() ? routerImport.group(1) : importingPackage();
     }
 
     @Override
@@ -77,17 +77,17 @@
   }
 
   @Test
-  void packagesImportOnlyFromThoseBelowThem() throws IOException {
-    assertNone(
-        found ->
-            !found.importedPackage().equals(found.importingPackage())
+  void packagesHaveOnlyAllowedImports() throws IOException {
+    assertNoImport(
+        candidate ->
+            !candidate.importedPackage().equals(candidate.importingPackage())
                 && !ALLOWED_IMPORTS
-                    .getOrDefault(found.importingPackage(), Set.of())
-                    .contains(found.importedPackage()));
+                    .getOrDefault(candidate.importingPackage(), Set.of())
+                    .contains(candidate.importedPackage()));
   }
 
   @Test
-  void everyPackageStandsInTheTable() throws IOException {
+  void everyPackageIsInTheTable() throws IOException {
     Set<String> packages = new HashSet<>();
     for (Path file : sourceFiles()) {
       packages.add(packageOf(file));
@@ -97,35 +97,35 @@
 
   @Test
   void allowedImportsHaveNoCycle() {
-    Set<String> ordered = new HashSet<>();
+    Set<String> acyclic = new HashSet<>();
     boolean progress = true;
     while (progress) {
       progress = false;
-      for (var each : ALLOWED_IMPORTS.entrySet()) {
-        progress |= ordered.containsAll(each.getValue()) && ordered.add(each.getKey());
+      for (var entry : ALLOWED_IMPORTS.entrySet()) {
+        progress |= acyclic.containsAll(entry.getValue()) && acyclic.add(entry.getKey());
       }
     }
-    assertEquals(ALLOWED_IMPORTS.keySet(), ordered, "the others are part of a cycle or above one");
+    assertEquals(ALLOWED_IMPORTS.keySet(), acyclic, "the others are in a cycle or depend on one");
   }
 
   @Test
-  void decidingPackagesDoNoIo() throws IOException {
-    assertNone(
-        found ->
-            PACKAGES_WITHOUT_IO.contains(found.importingPackage())
-                && IO_IMPORT.matcher(found.imported()).matches());
+  void packagesWithoutIoImportNoIoTypes() throws IOException {
+    assertNoImport(
+        candidate ->
+            PACKAGES_WITHOUT_IO.contains(candidate.importingPackage())
+                && IO_IMPORT.matcher(candidate.imported()).matches());
   }
 
   @Test
-  void socketsAreUsedOnlyByTheNetworkCode() throws IOException {
-    assertNone(
-        found ->
-            !PACKAGES_WITH_SOCKETS.contains(found.importingPackage())
-                && !found.file().equals(DISCOVERY_CONNECTOR)
-                && SOCKET_IMPORT.matcher(found.imported()).matches());
+  void onlyNetworkCodeUsesSockets() throws IOException {
+    assertNoImport(
+        candidate ->
+            !PACKAGES_WITH_SOCKETS.contains(candidate.importingPackage())
+                && !candidate.file().equals(DISCOVERY_CONNECTOR)
+                && SOCKET_IMPORT.matcher(candidate.imported()).matches());
   }
 
-  private static void assertNone(Predicate<Import> forbidden) throws IOException {
+  private static void assertNoImport(Predicate<Import> forbidden) throws IOException {
     List<Import> imports = new ArrayList<>();
     for (Path file : sourceFiles()) {
       IMPORT
--- a/router/src/test/java/rushwood/DocumentationTest.java
+++ b/router/src/test/java/rushwood/DocumentationTest.java
@@ -19,17 +19,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The pages name only what the code has, and docs/on-call.md has each log line of the router. */
+/** Checks that the pages name existing types, and that docs/on-call.md lists all log lines. */
 class DocumentationTest {
   private static final Path ROOT = Path.of("..");
   private static final Path ROUTER_SOURCES = ROOT.resolve("router/src/main/java");
   private static final Path ON_CALL_PAGE = ROOT.resolve("docs/on-call.md");
 
-  /** Past entries, which keep the names of their time. */
-  private static final Set<String> PAGES_OF_THE_PAST = Set.of("ROADMAP.md", "CHANGELOG.md");
+  /** Pages of past entries, which keep the names that were valid then. */
+  private static final Set<String> HISTORICAL_PAGES = Set.of("ROADMAP.md", "CHANGELOG.md");
 
-  /** Names of the JDK, of Netty, of the wire and of examples. */
-  private static final Set<String> FOREIGN_NAMES =
+  /** Names from the JDK, Netty, the wire formats and examples. */
+  private static final Set<String> EXTERNAL_NAMES =
       Set.of(
           "FileRegion",
           "Fixture",
@@ -45,7 +45,7 @@
           "SplittableRandom",
           "Terminating");
 
-  /** A type in code quotes, perhaps after its package and before a member. */
+  /** A type in code quotes, with an optional package before it and an optional member after it. */
   private static final Pattern TYPE_NAME =
       Pattern.compile("`(?:[a-z]\\w*[./])*([A-Z]+[a-z]\\w*)(?:\\.(\\w+))?[^`]*`");
 
@@ -61,16 +61,16 @@
 
   private static final Pattern STRING_LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
 
-  /** What stands for a value on the page: a word in capitals. */
+  /** A placeholder for a value on the page: a word in capitals. */
   private static final Pattern PAGE_PLACEHOLDER = Pattern.compile("\\b(?!HTTP\\b)[A-Z]+\\b");
 
-  /** What this test writes for a value, on the page and in the code. */
+  /** Replaces a value or placeholder in lines that are compared. */
   private static final String VALUE = "\0";
 
-  /** Calls that pass on a line whose text stands at another call. */
-  private static final Set<String> PASSED_ON = Set.of("problem", "\"{}\", line");
+  /** Arguments of calls that forward a line whose text is given at another call. */
+  private static final Set<String> FORWARDED_ARGUMENTS = Set.of("problem", "\"{}\", line");
 
-  /** A row of the table of log lines: level and quoted lines. */
+  /** A row in the table of log lines: the level and the quoted lines. */
   private static final Pattern LOG_ROW =
       Pattern.compile("\\| (INFO|WARN|ERROR|INFO or WARN) \\| ([^|]*) \\|.*");
 
@@ -87,11 +87,11 @@
         paths.filter(path -> path.toString().endsWith(".md")).forEach(pages::add);
       }
     }
-    pages.removeIf(page -> PAGES_OF_THE_PAST.contains(page.getFileName().toString()));
+    pages.removeIf(page -> HISTORICAL_PAGES.contains(page.getFileName().toString()));
     return pages;
   }
 
-  /** The text of the files that declare each type of the project, tests included. */
+  /** Maps each type of the project, including tests, to the text of the files that declare it. */
   private static Map<String, String> declaringFiles() throws IOException {
     Map<String, String> texts = new HashMap<>();
     for (String module : List.of("router", "testbed", "cli")) {
@@ -123,7 +123,7 @@
   }
 
   private static boolean exists(String type, String member, Map<String, String> declaringFiles) {
-    if (FOREIGN_NAMES.contains(type)) {
+    if (EXTERNAL_NAMES.contains(type)) {
       return true;
     }
     String text = declaringFiles.get(type);
@@ -132,13 +132,13 @@
   }
 
   /**
-   * A log line with {@link #VALUE} for each value.
+   * A log line in which {@link #VALUE} replaces each value.
    *
-   * @param level empty if the code computes it
+   * @param level the level, empty if the code computes it
    */
   private record LogLine(String level, String text) {
-    /** Whether this line of the page describes that line of the code, which may end in a value. */
-    boolean describes(LogLine logged) {
+    /** Returns whether this line of the page matches a line of the code that may end in a value. */
+    boolean matches(LogLine logged) {
       boolean sameText =
           logged.text.endsWith(VALUE)
               ? text.startsWith(logged.text.substring(0, logged.text.length() - 1))
@@ -151,15 +151,15 @@
     List<LogLine> lines = new ArrayList<>();
     for (Path file : files(ROUTER_SOURCES, ".java")) {
       for (MatchResult call : LOG_CALL.matcher(Files.readString(file)).results().toList()) {
-        if (!PASSED_ON.contains(call.group(3).trim())) {
-          lines.add(lineOf(call));
+        if (!FORWARDED_ARGUMENTS.contains(call.group(3).trim())) {
+          lines.add(toLogLine(call));
         }
       }
     }
     return lines;
   }
 
-  private static LogLine lineOf(MatchResult call) {
+  private static LogLine toLogLine(MatchResult call) {
     String level = Stream.of(1, 2).map(call::group).filter(Objects::nonNull).findFirst().orElse("");
     String arguments = call.group(3);
     StringBuilder text = new StringBuilder();
@@ -173,7 +173,7 @@
     return new LogLine(level.toUpperCase(Locale.ROOT), text.toString());
   }
 
-  /** A part between two literals that adds a value to the text, unlike a break of the line. */
+  /** Appends {@link #VALUE} if the code between two literals adds a value to the text. */
   private static void appendValue(StringBuilder text, String expression) {
     boolean isAdded = expression.contains("+") && !expression.replace('+', ' ').isBlank();
     if (isAdded) {
@@ -181,7 +181,7 @@
     }
   }
 
-  private static List<LogLine> linesOfPage() throws IOException {
+  private static List<LogLine> onCallPageLines() throws IOException {
     List<LogLine> lines = new ArrayList<>();
     for (String row : Files.readAllLines(ON_CALL_PAGE)) {
       var cells = LOG_ROW.matcher(row);
@@ -197,17 +197,17 @@
   }
 
   @Test
-  void onCallPageHasEachLogLineAsTheCodeWritesIt() throws IOException {
-    List<LogLine> described = linesOfPage();
+  void onCallPageListsEveryLogLine() throws IOException {
+    List<LogLine> described = onCallPageLines();
     List<LogLine> missing =
         loggedLines().stream()
-            .filter(line -> described.stream().noneMatch(page -> page.describes(line)))
+            .filter(line -> described.stream().noneMatch(page -> page.matches(line)))
             .toList();
     assertEquals(List.of(), missing);
   }
 
   @Test
-  void eachLogLineOfTheOnCallPageIsInTheCode() throws IOException {
+  void codeHasEveryLogLineOfTheOnCallPage() throws IOException {
     Set<String> literals = new HashSet<>();
     for (Path file : files(ROUTER_SOURCES, ".java")) {
       STRING_LITERAL
@@ -216,17 +216,17 @@
           .forEach(literal -> literals.add(literal.group(1)));
     }
     List<String> unknown = new ArrayList<>();
-    for (LogLine line : linesOfPage()) {
+    for (LogLine line : onCallPageLines()) {
       Stream.of(line.text().split(VALUE))
-          .filter(part -> !isWritten(part, literals))
+          .filter(part -> !isInLiterals(part, literals))
           .forEach(part -> unknown.add(line.text() + ": " + part));
     }
     assertEquals(List.of(), unknown);
-    assertFalse(linesOfPage().isEmpty(), "the table of log lines is found");
+    assertFalse(onCallPageLines().isEmpty(), "no table of log lines found");
   }
 
-  /** Whether a literal contains the text, or one literal is its beginning and another its rest. */
-  private static boolean isWritten(String text, Set<String> literals) {
+  /** Returns whether a literal contains the text, or one is its start and another has the rest. */
+  private static boolean isInLiterals(String text, Set<String> literals) {
     return isContained(text, literals)
         || literals.stream()
             .filter(literal -> !literal.isBlank() && text.startsWith(literal))
--- a/router/src/test/java/rushwood/server/Await.java
+++ b/router/src/test/java/rushwood/server/Await.java
@@ -9,22 +9,21 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Waits for a condition, each with a deadline by which the test fails. */
+/** Waits for conditions; a wait that exceeds its deadline fails the test. */
 final class Await {
-  /** The deadline where a test names none: until a test that hangs fails. */
+  /** Default timeout, long enough that only a test that hangs exceeds it. */
   static final int TIMEOUT_MILLIS = 20_000;
 
-  /** Between two looks at a condition. */
   private static final int POLL_INTERVAL_MILLIS = 5;
 
   private Await() {}
 
-  /** Waits until the condition holds; {@code failure} describes why it does not. */
+  /** Waits until the condition holds; {@code failure} supplies the message if it does not. */
   static void until(Callable<Boolean> condition, Supplier<String> failure) throws Exception {
     until(TIMEOUT_MILLIS, condition, failure);
   }
 
-  /** Like {@link #until(Callable, Supplier)}, with a deadline of its own. */
+  /** Like {@link #until(Callable, Supplier)}, with the given timeout. */
   static void until(long timeoutMillis, Callable<Boolean> condition, Supplier<String> failure)
       throws Exception {
     long deadline = deadline(timeoutMillis);
@@ -35,26 +34,27 @@
   }
 
   /**
-   * Removes elements from the queue up to the first that matches and returns it; fails if it has
-   * not come within {@link #TIMEOUT_MILLIS}, however many others have.
+   * Removes elements from the queue up to the first that matches and returns it. Fails if none
+   * matches within {@link #TIMEOUT_MILLIS}, even if other elements arrive.
    */
-  static <T> T first(BlockingQueue<T> queue, Predicate<T> condition) throws InterruptedException {
+  static <T> T firstMatch(BlockingQueue<T> queue, Predicate<T> condition)
+      throws InterruptedException {
     long deadline = deadline();
     T next;
     do {
       next = queue.poll(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
-      assertNotNull(next, "nothing that matches came");
+      assertNotNull(next, "no matching element arrived in time");
     } while (!condition.test(next));
     return next;
   }
 
-  /** Waits for the thread's end. */
-  static void end(Thread thread) throws InterruptedException {
+  /** Waits for the thread to terminate. */
+  static void termination(Thread thread) throws InterruptedException {
     thread.join(TIMEOUT_MILLIS);
-    assertTrue(!thread.isAlive(), () -> thread + " has not ended");
+    assertTrue(!thread.isAlive(), () -> thread + " has not terminated");
   }
 
-  /** When a wait that begins now has failed, on the clock of {@link System#nanoTime}. */
+  /** Returns the deadline of a wait that starts now, in terms of {@link System#nanoTime}. */
   static long deadline() {
     return deadline(TIMEOUT_MILLIS);
   }
--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -22,23 +22,23 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
-/** Backends that refuse requests, reset connections or cut their responses short. */
+/** Backends that reject requests, reset connections or truncate their responses. */
 class BackendFailureTest {
-  /** Within this time a backend whose responses were cut short is used again. */
+  /** A recovered backend has to be used again within this time. */
   private static final long MAX_RECOVERY_MILLIS = 600;
 
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
 
   @Test
   void rejectsWhenBackendIsOverloaded() throws Exception {
-    byte[] full = concat(errorResponse("53300"), readyForQuery());
-    router.primary().respondWith(full);
+    byte[] tooManyConnections = concat(errorResponse("53300"), readyForQuery());
+    router.primary().respondWith(tooManyConnections);
     try (TestClient client = router.connect()) {
       assertEquals(REJECTED, client.query(write("w1", 300)));
     }
   }
 
-  /** A response cut in mid-row proves nothing: a write fails, a read is retried on another host. */
+  /** After a response that ends in mid-row a write fails, as it may have run; a read is retried. */
   @Test
   void backendDisconnectsInMidRow() throws Exception {
     router.primary().responder = statement -> message('T', new byte[] {0, 1});
@@ -51,7 +51,8 @@
   }
 
   /**
-   * A backend that resets new connections is alive: requests go elsewhere, and it stays healthy.
+   * A backend that resets new connections is alive: requests go to another one, and the backend is
+   * not ejected.
    */
   @Test
   void connectionResetWhileConnecting() throws Exception {
@@ -64,12 +65,12 @@
       assertTrue(counters.get(Counter.ATTEMPTS_NOT_SENT) > 0, counters::toString);
       assertEquals(0, counters.get(Counter.ATTEMPTS_CONNECT_FAILED), counters::toString);
     }
-    assertEquals(List.of(), router.outputWith("ejected host"));
+    assertEquals(List.of(), router.outputContaining("ejected host"));
   }
 
   /**
-   * The connection for the next attempt was closed by its backend meanwhile, or holds half a
-   * message.
+   * An idle connection that its backend has closed, or on which half a message has arrived, must
+   * not make the next request fail.
    */
   @Test
   void idleBackendConnectionEnds() throws Exception {
@@ -84,24 +85,25 @@
         if (!leavesHalfMessage) {
           router.primary().closeConnections();
         }
-        Thread.sleep(i % 5); // the close is read before, between and after the next bytes
+        Thread.sleep(i % 5); // the close arrives before, during or after the next request
       }
       CounterSnapshot counters = client.readCounters();
       assertEquals(0, counters.get(Counter.REQUESTS_FAILED), counters::toString);
     }
   }
 
-  /** A write whose connection is reset after all of it was sent may have run: it is not retried. */
+  /** A write whose connection ends after it was sent completely may have run: no retry. */
   @Test
   void backendResetDuringWrite() throws Exception {
     byte[] readOnly =
         concat(errorResponse("25006"), parameterStatus("part", "replica"), readyForQuery());
     byte[] row = StandInBackend.rowResponse("v", "replica");
     router.replica().responder = statement -> statement.startsWith("INSERT") ? readOnly : row;
-    byte[] report = concat(rowResponse("x0=1,x1=1"), readyForQuery());
+    byte[] healthReport = concat(rowResponse("x0=1,x1=1"), readyForQuery());
     router.primary().responder =
-        statement -> statement.startsWith("SHOW") ? report : new byte[0]; // and the connection ends
-    long started = 0;
+        // An empty response closes the connection.
+        statement -> statement.startsWith("SHOW") ? healthReport : new byte[0];
+    long totalExecutions = 0;
     try (TestClient client = router.connect()) {
       for (int i = 0; i < 10; i++) {
         String answer = client.query(write("w" + i));
@@ -109,35 +111,34 @@
             router.primary().receivedStatements.stream()
                     .filter(statement -> statement.contains("id=w"))
                     .count()
-                - started;
-        started += executions;
+                - totalExecutions;
+        totalExecutions += executions;
         assertTrue(
             (executions == 1 && answer.equals(FAILED))
                 || (executions == 0 && answer.equals(REJECTED)),
-            "sent " + executions + " times and answered " + answer);
-        for (int more = 0;
-            more < 20;
-            more++) { // the health-check budget is a share of the requests
-          client.query(read("r" + i + "-" + more));
+            "sent " + executions + " times, answer " + answer);
+        // Health checks are limited to a share of the requests, so reads are needed.
+        for (int readNumber = 0; readNumber < 20; readNumber++) {
+          client.query(read("r" + i + "-" + readNumber));
         }
-        Thread.sleep(600); // so long the primary gets no trial request
+        Thread.sleep(600); // the primary gets no trial request before
       }
     }
-    assertTrue(started > 1, "the primary was tried again: " + started);
+    assertTrue(totalExecutions > 1, "the primary was not tried again, writes sent: " + totalExecutions);
   }
 
   /**
-   * Responses that are cut in a row or behind it, with the connection closed or left open: clients
-   * get an error and no value, and the slots of the attempts become free again.
+   * Responses that end within or after a row, with the connection closed or left open: clients get
+   * an error and no value, and the slots of the attempts are released.
    */
   @Test
   void truncatedBackendResponses() throws Exception {
     byte[] row = rowResponse("value");
-    byte[] whole = StandInBackend.rowResponse("value", "replica");
-    byte[] withoutCompletion = Arrays.copyOf(row, row.length - 14);
+    byte[] complete = StandInBackend.rowResponse("value", "replica");
+    byte[] withoutCommandComplete = Arrays.copyOf(row, row.length - 14);
     byte[] halfRow = Arrays.copyOf(row, row.length - 16);
-    int count = 0;
-    for (byte[] truncated : List.of(halfRow, withoutCompletion)) {
+    int requestCount = 0;
+    for (byte[] truncated : List.of(halfRow, withoutCommandComplete)) {
       for (boolean keepsOpen : new boolean[] {false, true}) {
         for (StandInBackend backend : List.of(router.primary(), router.replica())) {
           backend.keepsConnectionOpen = keepsOpen;
@@ -146,28 +147,28 @@
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
           clients.add(router.connect());
-          clients.get(i).send(read("cut" + count++, 400));
+          clients.get(i).send(read("cut" + requestCount++, 400));
         }
         for (TestClient client : clients) {
-          assertTrue(client.readResponse().startsWith("E("), "no value");
+          assertTrue(client.readResponse().startsWith("E("), "expected an error and no value");
           client.close();
         }
       }
     }
     router.primary().keepsConnectionOpen = false;
     router.replica().keepsConnectionOpen = false;
-    router.primary().respondWith(whole);
-    router.replica().respondWith(whole);
-    AtomicInteger tries = new AtomicInteger();
+    router.primary().respondWith(complete);
+    router.replica().respondWith(complete);
+    AtomicInteger queries = new AtomicInteger();
     try (TestClient client = router.connect()) {
       Await.until(
           MAX_RECOVERY_MILLIS,
-          () -> client.query(read("again" + tries.incrementAndGet())).equals(SERVED),
-          () -> "not served " + tries + " times after the backends recovered");
+          () -> client.query(read("again" + queries.incrementAndGet())).equals(SERVED),
+          () -> "none of " + queries + " queries served after the backends recovered");
     }
     for (int i = 0; i < 30; i++) {
       try (TestClient client = router.connect()) {
-        assertEquals(SERVED, client.query(read("whole" + i)));
+        assertEquals(SERVED, client.query(read("complete" + i)));
       }
     }
   }
--- a/router/src/test/java/rushwood/server/ClientDisconnectTest.java
+++ b/router/src/test/java/rushwood/server/ClientDisconnectTest.java
@@ -25,18 +25,19 @@
 import rushwood.dispatch.Counter;
 
 /**
- * No attempt begins for a client that has disconnected. Its request waits because no endpoint is
- * ready, or because the connection to the backend is not open yet; then the client disconnects,
- * then backends take whatever they are sent. Attempts cannot be cancelled here, so that only those
- * that have not begun can be withheld.
+ * No attempt starts for a client that has disconnected. Its request waits because no endpoint is
+ * ready, because the connection to the backend is not open yet or because no slot is free. The
+ * client disconnects before the request can be sent. Cancelling attempts is switched off in the
+ * settings, so that only attempts that have not started can be prevented.
  */
 class ClientDisconnectTest {
-  private static final int LONG_TIMEOUT_MILLIS = 8000; // half of it may be spent in the wait queue
+  /** Long enough for the tests, although a request waits in the queue for at most half of it. */
+  private static final int LONG_TIMEOUT_MILLIS = 8000;
 
-  /** Longer than the 100 ms after the disconnect within which an attempt may still begin. */
+  /** More than the 100 ms after the disconnect in which an attempt may still start. */
   private static final int DISCONNECT_MILLIS = 150;
 
-  /** Time for an attempt that should have been withheld to arrive at a backend. */
+  /** Time in which an attempt that should not have started would reach a backend. */
   private static final int LATE_ATTEMPT_MILLIS = 300;
 
   private static final int CLIENT_COUNT = 50;
@@ -59,12 +60,12 @@
     }
   }
 
-  /** Time itself is tested: an attempt that begins later than this is a fault. */
+  /** Sleeps, because an attempt that starts later than this after a disconnect is a fault. */
   private static void letDisconnectTakeEffect() throws InterruptedException {
     Thread.sleep(DISCONNECT_MILLIS);
   }
 
-  /** Nothing shows that nothing comes but time. */
+  /** Sleeps, because no event shows that no attempt will arrive. */
   private static void letLateAttemptsArrive() throws InterruptedException {
     Thread.sleep(LATE_ATTEMPT_MILLIS);
   }
@@ -75,19 +76,19 @@
     return client;
   }
 
-  /** Makes all endpoints drain, so that new requests wait in the queue. */
+  /** Makes all endpoints drain, so that new requests queue; returns a connected client. */
   private TestClient drainAllBackends() throws Exception {
     TestClient staying = connectClient();
     assertEquals(SERVED, staying.query(read("first")));
     router.publishBackends("Terminating");
-    // By the watch or by a poll, whichever comes first; the list of the start is the other one.
+    // One list is applied at the start, the second arrives by the watch or by a poll.
     awaitCounters(staying, counters -> counters.appliedEndpointLists() >= 2);
     router.replica().receivedStatements.clear();
     router.primary().receivedStatements.clear();
     return staying;
   }
 
-  private void awaitAcceptedRequests(long requests) throws Exception {
+  private void awaitReceivedRequests(long requests) throws Exception {
     try (TestClient observer = router.connect()) {
       CounterSnapshot counters =
           awaitCounters(observer, latest -> latest.get(Counter.REQUESTS_RECEIVED) >= requests);
@@ -96,8 +97,8 @@
   }
 
   /**
-   * Disconnects fifty clients whose requests are queued: another queued client is served, and no
-   * backend receives a request of the fifty.
+   * Disconnects clients whose requests are queued: another queued client is served, and no backend
+   * receives a request of the disconnected ones.
    */
   private void disconnectWhileQueued(ClientAction action) throws Exception {
     drainAllBackends();
@@ -106,21 +107,21 @@
       leaving.add(connectClient());
       leaving.get(i).send(read("gone" + i, LONG_TIMEOUT_MILLIS));
     }
-    awaitAcceptedRequests(CLIENT_COUNT + 1);
+    awaitReceivedRequests(CLIENT_COUNT + 1);
     for (TestClient client : leaving) {
       action.apply(client);
     }
     letDisconnectTakeEffect();
     TestClient late = connectClient();
     late.send(read("stays", LONG_TIMEOUT_MILLIS));
-    awaitAcceptedRequests(CLIENT_COUNT + 2);
+    awaitReceivedRequests(CLIENT_COUNT + 2);
     router.publishBackends("Ready");
     assertEquals(SERVED, late.readResponse());
     assertNothingSentForDisconnected();
   }
 
   private void assertNothingSentForDisconnected() {
-    assertEquals(List.of(), router.receivedWithId("gone"));
+    assertEquals(List.of(), router.receivedWithIdPrefix("gone"));
   }
 
   @Test
@@ -137,13 +138,13 @@
         });
   }
 
-  /** The client says that it ends and leaves its socket open. */
+  /** The client sends Terminate and leaves its socket open. */
   @Test
   void terminateMessage() throws Exception {
     disconnectWhileQueued(client -> client.sendBytes(message('X', new byte[0])));
   }
 
-  /** The same after statements that it had pipelined. */
+  /** Like {@link #terminateMessage}, after pipelined statements. */
   @Test
   void terminateMessageAfterPipelinedStatements() throws Exception {
     disconnectWhileQueued(
@@ -155,17 +156,17 @@
                     message('X', new byte[0]))));
   }
 
-  /** The client has pipelined more than is buffered before it closes the connection. */
+  /** The client has pipelined more than the router buffers before it closes the connection. */
   @Test
   void connectionClosedAfterMoreThanIsBuffered() throws Exception {
-    byte[] much = query(largeWrite("gone-next", 60_000));
-    int[] count = new int[1];
+    byte[] largeStatement = query(largeWrite("gone-next", 60_000));
+    int[] clientCount = new int[1];
     disconnectWhileQueued(
         client -> {
-          for (int i = 0; i < (count[0] < 3 ? 12 : 1); i++) {
-            client.sendBytes(much);
+          for (int i = 0; i < (clientCount[0] < 3 ? 12 : 1); i++) {
+            client.sendBytes(largeStatement);
           }
-          count[0]++;
+          clientCount[0]++;
           client.close();
         });
   }
@@ -178,7 +179,7 @@
     }
   }
 
-  /** A cancel request with the key of the client; its session goes on. */
+  /** A cancel request with the client's key ends the request; its session stays usable. */
   @Test
   void cancelRequest() throws Exception {
     disconnectWhileQueued(
@@ -189,18 +190,18 @@
         });
   }
 
-  /** With a wrong key, that of an idle session or of one that is over, nothing happens. */
+  /** A cancel request with a wrong key, or that of an idle or closed session, has no effect. */
   @Test
   void cancelRequestWithWrongKey() throws Exception {
-    TestClient over = connectClient();
-    over.close();
+    TestClient closed = connectClient();
+    closed.close();
     TestClient staying = drainAllBackends();
     TestClient waiting = connectClient();
     waiting.send(read("waits", LONG_TIMEOUT_MILLIS));
-    awaitAcceptedRequests(2);
-    byte[] wrong = Arrays.copyOf(waiting.cancelKey, 8);
-    wrong[7] ^= 1;
-    for (byte[] key : List.of(wrong, new byte[8], staying.cancelKey, over.cancelKey)) {
+    awaitReceivedRequests(2);
+    byte[] wrongKey = Arrays.copyOf(waiting.cancelKey, 8);
+    wrongKey[7] ^= 1;
+    for (byte[] key : List.of(wrongKey, new byte[8], staying.cancelKey, closed.cancelKey)) {
       sendCancelRequest(key);
     }
     router.publishBackends("Ready");
@@ -208,7 +209,7 @@
     assertEquals(SERVED, staying.query(read("second")));
   }
 
-  /** The connection for its attempt opens after the client has disconnected. */
+  /** The client disconnects while the backend connection for its request is being opened. */
   @Test
   void disconnectWhileBackendConnectionIsPending() throws Exception {
     for (ClientAction action :
@@ -221,11 +222,11 @@
       router.primary().startupGate = connectionsOpen;
       router.replica().closeConnections();
       router.primary().closeConnections();
-      TestClient staying = connectClient(); // by then the router has read that they are closed
+      TestClient staying = connectClient(); // gives the router time to see the connections close
       long before = staying.readCounters().get(Counter.REQUESTS_RECEIVED);
       TestClient leaving = connectClient();
       leaving.send(read("gone" + before, LONG_TIMEOUT_MILLIS));
-      awaitAcceptedRequests(before + 1);
+      awaitReceivedRequests(before + 1);
       action.apply(leaving);
       letDisconnectTakeEffect();
       connectionsOpen.countDown();
@@ -237,20 +238,20 @@
 
   /**
    * Clients send requests and disconnect while the router is suspended, on open connections and on
-   * ones that it has not accepted.
+   * connections that it has not accepted yet.
    */
   @Test
   void disconnectWhileRouterIsSuspended() throws Exception {
     TestClient staying = connectClient();
     assertEquals(SERVED, staying.query(read("first")));
-    List<TestClient> known = new ArrayList<>();
+    List<TestClient> connected = new ArrayList<>();
     for (int i = 0; i < CLIENT_COUNT; i++) {
-      known.add(connectClient());
+      connected.add(connectClient());
     }
     router.sendSignal("STOP");
     for (int i = 0; i < CLIENT_COUNT; i++) {
-      known.get(i).send(read("gone-known" + i, LONG_TIMEOUT_MILLIS));
-      known.get(i).close();
+      connected.get(i).send(read("gone-connected" + i, LONG_TIMEOUT_MILLIS));
+      connected.get(i).close();
       try (Socket unaccepted = new Socket("127.0.0.1", router.port())) {
         unaccepted
             .getOutputStream()
@@ -264,12 +265,12 @@
     assertNothingSentForDisconnected();
   }
 
-  /** A slot becomes free in the turn in which the disconnect of the next client is still unread. */
+  /** A slot is released in a turn in which the disconnect of the next client is still unread. */
   @Test
   void disconnectWhileASlotIsReleased() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
     router.primary().responder =
-        StandInBackend.respondBehind(
+        StandInBackend.respondAfterGate(
             release, statement -> StandInBackend.rowResponse("v", "master"));
     connectClient(); // stays connected
     List<TestClient> waiting = new ArrayList<>();
@@ -277,7 +278,7 @@
       waiting.add(connectClient());
       waiting.get(i).send(write("gone" + i, 4000));
     }
-    awaitAcceptedRequests(CLIENT_COUNT);
+    awaitReceivedRequests(CLIENT_COUNT);
     letDisconnectTakeEffect();
     router.sendSignal("STOP");
     release.countDown();
@@ -285,15 +286,15 @@
       client.close();
     }
     letDisconnectTakeEffect();
-    List<String> started = router.receivedWithId("gone");
+    List<String> started = router.receivedWithIdPrefix("gone");
     assertTrue(
         !started.isEmpty() && started.size() < CLIENT_COUNT,
-        started.size() + " attempts began at once");
+        started.size() + " attempts started before the disconnect");
     router.sendSignal("CONT");
     letLateAttemptsArrive();
     assertEquals(
         started,
-        router.receivedWithId("gone"),
-        "no free slot went to a client that had disconnected");
+        router.receivedWithIdPrefix("gone"),
+        "a free slot went to a client that had disconnected");
   }
 }
--- a/router/src/test/java/rushwood/server/ConnectionCloseTest.java
+++ b/router/src/test/java/rushwood/server/ConnectionCloseTest.java
@@ -16,41 +16,49 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Client connections that end while something is on its way. */
+/** Client connections that end while data is in transit. */
 class ConnectionCloseTest {
   private static final byte[] TERMINATE = message('X', new byte[0]);
 
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
 
   /**
-   * What a client sent after its Terminate message is read and dropped, not answered by a reset:
-   * the responses before it arrive, and nothing of it is sent to a backend.
+   * Data that a client sends after its Terminate message is read and discarded. Otherwise the
+   * kernel would reset the connection, and earlier responses could be lost. None of the data
+   * reaches a backend.
    */
   @Test
   void dataAfterTerminateMessage() throws Exception {
-    byte[] more = query(largeWrite("behind", 60_000));
+    byte[] largeStatement = query(largeWrite("behind", 60_000));
     for (int i = 0; i < 5; i++) {
       try (TestClient client = router.connect()) {
         assertEquals(SERVED, client.query(read("r" + i)));
-        writeWhileSuspended(client, concat(query(""), TERMINATE, more, more, more));
+        writeWhileSuspended(
+            client, concat(query(""), TERMINATE, largeStatement, largeStatement, largeStatement));
         assertEquals(EMPTY, messageTypes(client.readToEnd()));
       }
     }
-    assertEquals(List.of(), router.receivedWithId("behind"));
+    assertEquals(List.of(), router.receivedWithIdPrefix("behind"));
   }
 
-  /** The same after a protocol error of the client, which it can read. */
+  /** Data after a protocol error is discarded too, so that the client can read the error. */
   @Test
   void dataAfterProtocolError() throws Exception {
-    byte[] more = query(largeWrite("behind", 60_000));
+    byte[] largeStatement = query(largeWrite("behind", 60_000));
     for (int i = 0; i < 5; i++) {
       try (TestClient client = router.connect()) {
         writeWhileSuspended(
-            client, concat(query(""), new byte[] {'?', 0, 0, 0, 4}, more, more, more));
+            client,
+            concat(
+                query(""),
+                new byte[] {'?', 0, 0, 0, 4},
+                largeStatement,
+                largeStatement,
+                largeStatement));
         assertEquals("I Z E(08P01)", messageTypes(client.readToEnd()));
       }
     }
-    assertEquals(List.of(), router.receivedWithId("behind"));
+    assertEquals(List.of(), router.receivedWithIdPrefix("behind"));
   }
 
   @Test
@@ -68,7 +76,7 @@
     }
   }
 
-  /** Each invalid request gets an error; after some of them the connection ends. */
+  /** Each invalid request gets an error; after too many of them the connection is closed. */
   @Test
   void repeatedInvalidRequestsEndTheConnection() throws Exception {
     try (TestClient client = router.connect()) {
@@ -84,8 +92,8 @@
   }
 
   /**
-   * Writes while the router is suspended, so that all of it has arrived before any of it is read:
-   * where the router ends the connection, unread bytes are left.
+   * Writes while the router is suspended, so that all bytes have arrived before the router reads
+   * any, and unread bytes are left when it closes the connection.
    */
   private void writeWhileSuspended(TestClient client, byte[] bytes) throws Exception {
     router.sendSignal("STOP");
--- a/router/src/test/java/rushwood/server/ConnectionLimitTest.java
+++ b/router/src/test/java/rushwood/server/ConnectionLimitTest.java
@@ -28,11 +28,11 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
-/** Clients that take all connections, or more memory than there is. */
+/** Clients that exhaust the connection limit or the buffer memory. */
 class ConnectionLimitTest {
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
 
-  /** Hundreds of silent connections are all ended, and a client that asks then is served. */
+  /** Hundreds of silent connections are all closed, and a client that connects later is served. */
   @Test
   void silentConnectionsExhaustSockets() throws Exception {
     List<Socket> sockets = new ArrayList<>();
@@ -42,7 +42,7 @@
       }
       for (Socket socket : sockets) {
         socket.setSoTimeout(Await.TIMEOUT_MILLIS);
-        // refused at once, closed for another client or closed because it was silent for too long
+        // refused, closed to make room for another client, or closed for being silent too long
         int first = socket.getInputStream().read();
         assertTrue(first == 'E' || first < 0);
       }
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Tries to connect until the router has ended enough of the other connections. */
+  /** Reconnects until the router has closed enough of the other connections. */
   private TestClient connectOnceAccepted() throws Exception {
     AtomicReference<TestClient> accepted = new AtomicReference<>();
     Await.until(
@@ -72,7 +72,7 @@
     return accepted.get();
   }
 
-  /** Idle clients are closed for new ones, the one that has been idle the longest first. */
+  /** Idle connections are closed to make room for new ones, the longest idle one first. */
   @Test
   void idleClientsAreClosedForNewOnes() throws Exception {
     List<TestClient> idle = new ArrayList<>();
@@ -81,13 +81,14 @@
         idle.add(router.connect());
         assertEquals(EMPTY, idle.get(i).query(""));
       }
-      Thread.sleep(150); // the others are idle for that long when this client is not
+      Thread.sleep(150); // makes the other connections idle for longer than this one
       assertEquals(EMPTY, client.query(""));
-      TestClient late = router.connect();
-      idle.add(late);
-      assertEquals(SERVED, late.query(read("r1")));
-      assertEquals(SERVED, client.query(read("r2")), "it was not idle for long");
-      assertTrue(idle.get(0).isEnded());
+      TestClient newClient = router.connect();
+      idle.add(newClient);
+      assertEquals(SERVED, newClient.query(read("r1")));
+      assertEquals(
+          SERVED, client.query(read("r2")), "it was idle for a shorter time than the others");
+      assertTrue(idle.get(0).isClosedByRouter());
     } finally {
       for (TestClient open : idle) {
         open.close();
@@ -95,12 +96,12 @@
     }
   }
 
-  /** Large messages of which many clients have sent a part do not exhaust the memory. */
+  /** Many clients that have each sent part of a large message do not exhaust the memory. */
   @Test
   void partialMessagesDoNotExhaustMemory() throws Exception {
     byte[] half = new byte[250_000];
     half[0] = 'Q';
-    half[2] = 3; // of a length of 262,143
+    half[2] = 3; // message length 262,143, of which this is a part
     half[3] = -1;
     half[4] = -1;
     List<TestClient> clients = new ArrayList<>();
@@ -123,14 +124,17 @@
   }
 
   /**
-   * Hundreds connect and write at once: each is served, or can read why it is not. All have a
-   * request while the limit is reached, so that none may be closed for another.
+   * Hundreds of clients connect and send a request at the same time: each is served or can read an
+   * error. All have a request in flight when the limit is reached, so that none may be closed to
+   * make room for another.
    */
   @Test
   void connectionsBeyondTheLimit() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    router.primary().responder = StandInBackend.respondBehind(release, router.primary().responder);
-    router.replica().responder = StandInBackend.respondBehind(release, router.replica().responder);
+    router.primary().responder =
+        StandInBackend.respondAfterGate(release, router.primary().responder);
+    router.replica().responder =
+        StandInBackend.respondAfterGate(release, router.replica().responder);
     List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < 230; i++) {
@@ -139,10 +143,10 @@
         socket.setSoTimeout(Await.TIMEOUT_MILLIS);
         socket.getOutputStream().write(concat(startup(), query(read("r" + i, 8000))));
       }
-      int last = sockets.size() - 1;
-      assertEquals("E(53300)", readStartupAndResponse(sockets.get(last)));
+      int lastIndex = sockets.size() - 1;
+      assertEquals("E(53300)", readStartupAndResponse(sockets.get(lastIndex)));
       release.countDown();
-      for (Socket socket : sockets.subList(0, last)) {
+      for (Socket socket : sockets.subList(0, lastIndex)) {
         String types = readStartupAndResponse(socket);
         assertTrue(
             types.isEmpty()
@@ -159,7 +163,7 @@
     }
   }
 
-  /** Reads up to the second ReadyForQuery, or to the end of the connection. */
+  /** Reads up to the second ReadyForQuery or the end of the stream; returns the message types. */
   private static String readStartupAndResponse(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
     ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -172,18 +176,19 @@
   }
 
   /**
-   * A client that pipelines more than is buffered gets the response of its open request, and then
-   * an error before its connection ends.
+   * A client that pipelines more than the router buffers gets the response of its request in
+   * flight, then an error, and then its connection is closed.
    */
   @Test
   void pipeliningBeyondTheLimit() throws Exception {
     router.replica().responder =
-        StandInBackend.respondAfter(statement -> 400, StandInBackend.rowResponse("v", "replica"));
-    byte[] much = query(largeWrite("ahead", 64 << 10));
+        StandInBackend.respondAfterDelay(
+            statement -> 400, StandInBackend.rowResponse("v", "replica"));
+    byte[] largeStatement = query(largeWrite("ahead", 64 << 10));
     try (TestClient client = router.connect()) {
       client.send(read("r1"));
       for (int i = 0; i < 24; i++) {
-        client.sendBytes(much); // three times what is buffered
+        client.sendBytes(largeStatement); // in total three times what is buffered
       }
       String types = messageTypes(client.readToEnd());
       assertTrue(types.startsWith("T D C Z ") && types.endsWith(" E(53300)"), types);
@@ -191,15 +196,15 @@
   }
 
   /**
-   * Sixty clients pipeline a megabyte each before any of it is read: the memory suffices, and other
-   * clients get responses.
+   * Sixty clients pipeline a megabyte each before the router reads any of it: the memory suffices,
+   * and another client still gets responses.
    */
   @Test
   void pipeliningByManyClients() throws Exception {
-    byte[] much = query(largeWrite("ahead", 60_000));
+    byte[] largeStatement = query(largeWrite("ahead", 60_000));
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int i = 0; i < 8; i++) {
-      all.writeBytes(much);
+      all.writeBytes(largeStatement);
     }
     List<TestClient> clients = new ArrayList<>();
     try (TestClient staying = router.connect()) {
@@ -211,14 +216,14 @@
       for (TestClient sender : clients) {
         senders.add(StandInServer.startThread(() -> sender.sendBytes(all.toByteArray())));
       }
-      Thread.sleep(500); // until the buffers of the kernel are full, which shows nowhere
+      Thread.sleep(500); // fills the socket buffers of the kernel, which cannot be observed
       router.sendSignal("CONT");
       for (int i = 0; i < 20; i++) {
         String answer = staying.query(read("r" + i));
         assertServedOrRejected(answer);
       }
       for (Thread sender : senders) {
-        Await.end(sender);
+        Await.termination(sender);
       }
       CounterSnapshot counters =
           awaitCounters(staying, latest -> latest.get(Counter.CLIENTS_REFUSED) > 0);
@@ -238,7 +243,7 @@
             .toList());
   }
 
-  /** Whether a line warns of something other than the pause of the process, which is expected. */
+  /** Returns whether a line is a warning that the suspension of the process does not explain. */
   private static boolean isUnexpectedWarning(String line) {
     return line.contains("WARN")
         && !line.contains("WARN discovery does not respond")
--- a/router/src/test/java/rushwood/server/CounterSnapshot.java
+++ b/router/src/test/java/rushwood/server/CounterSnapshot.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import rushwood.dispatch.Counter;
 
-/** The counters of a router as {@code SHOW counters} listed them, by their names. */
+/** The counters of a router as returned by {@code SHOW counters}, by name. */
 record CounterSnapshot(Map<String, Long> values) {
   long get(Counter counter) {
     Long value = values.get(counter.name().toLowerCase(Locale.ROOT));
@@ -14,7 +14,7 @@
     return value;
   }
 
-  /** How many endpoint lists were applied, complete ones and changes together. */
+  /** Returns how many endpoint lists were applied, both complete lists and updates. */
   long appliedEndpointLists() {
     return get(Counter.ENDPOINT_LISTS_REPLACED) + get(Counter.ENDPOINT_LISTS_UPDATED);
   }
--- a/router/src/test/java/rushwood/server/EndpointListUpdateTest.java
+++ b/router/src/test/java/rushwood/server/EndpointListUpdateTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 import rushwood.dispatch.Counter;
 
-/** A change of the endpoint list, or of where it comes from, while the router serves. */
+/** Changes of the endpoint list, or of the discovery address, while the router serves. */
 class EndpointListUpdateTest {
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
 
@@ -46,8 +46,8 @@
   }
 
   /**
-   * A new configuration moves the router to another discovery under load; an invalid file changes
-   * nothing and is read again.
+   * A reloaded configuration switches the router to another discovery agent while a request is in
+   * flight; an invalid file changes nothing and is read again.
    */
   @Test
   void followsAnotherDiscoveryAfterReload() throws Exception {
@@ -77,7 +77,7 @@
       assertEquals(
           List.of(),
           List.copyOf(router.replica().receivedStatements),
-          "it is draining, as the new list says");
+          "the replica is draining in the new list");
       CounterSnapshot counters = client.readCounters();
       assertEquals(1, counters.get(Counter.CONFIGS_APPLIED));
       assertEquals(1, counters.get(Counter.CONFIGS_REJECTED));
--- a/router/src/test/java/rushwood/server/EndpointUpdateDeadlineTest.java
+++ b/router/src/test/java/rushwood/server/EndpointUpdateDeadlineTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.extension.RegisterExtension;
 
 /**
- * A change that discovery has and could tell takes effect within 6 s, a new endpoint as well as a
- * draining one, also with a drain grace of 15 s.
+ * A change of the endpoint list takes effect within 6 s once discovery can be reached, for a new
+ * endpoint as well as a draining one, even with a drain grace of 15 s.
  */
 class EndpointUpdateDeadlineTest {
   private static final long MAX_UPDATE_MILLIS = 6000;
@@ -42,7 +42,7 @@
     newBackend.close();
   }
 
-  /** Changes the complete list alone: no watch gets an event. */
+  /** Changes the complete list, but sends no event to the watch. */
   private void updateListWithoutWatchEvent() {
     router.discovery().endpointList =
         router.endpointListJson(
@@ -52,7 +52,7 @@
             endpointJson("c", newBackend, "Ready"));
   }
 
-  /** Asserts that the new backend gets requests in time, and the draining one none from then on. */
+  /** Asserts that the new backend gets requests in time and the draining one none after that. */
   private void assertUpdateTakesEffect(TestClient client) throws Exception {
     newBackend.receivedStatements.clear();
     Await.until(
@@ -69,7 +69,7 @@
     assertEquals(List.of(), receivedReads(router.replica()));
   }
 
-  /** Returns what clients read from the backend; what the router asks it is left out. */
+  /** Returns the reads of clients that the backend received, without health checks. */
   private static List<String> receivedReads(StandInBackend backend) {
     return backend.receivedStatements.stream()
         .filter(statement -> statement.startsWith("SELECT val"))
@@ -93,10 +93,10 @@
 
   @Test
   void watchWithHeartbeatsOnly() throws Exception {
-    AtomicBoolean isOver = new AtomicBoolean();
+    AtomicBoolean stopped = new AtomicBoolean();
     StandInServer.startThread(
         () -> {
-          while (!isOver.get()) {
+          while (!stopped.get()) {
             router.discovery().watchEvents.add("");
             Thread.sleep(100); // the interval of the heartbeats
           }
@@ -105,11 +105,11 @@
       updateListWithoutWatchEvent();
       assertUpdateTakesEffect(client);
     } finally {
-      isOver.set(true);
+      stopped.set(true);
     }
   }
 
-  /** The next calls are accepted and never answered. */
+  /** Discovery accepts the next two calls and never answers them. */
   @Test
   void stalledCalls() throws Exception {
     try (TestClient client = connectClient()) {
@@ -120,20 +120,20 @@
     }
   }
 
-  /** Discovery is away when the list changes; the time counts from its return. */
+  /** Discovery does not answer when the list changes; the time counts from its recovery. */
   @Test
   void discoveryBecomesReachableAgain() throws Exception {
     try (TestClient client = connectClient()) {
       router.discovery().unansweredCalls.set(1000);
       router.discovery().closeConnections();
       updateListWithoutWatchEvent();
-      Thread.sleep(2500); // longer than any pause between two calls of the router
+      Thread.sleep(2500); // longer than the router waits between two calls
       router.discovery().unansweredCalls.set(0);
       assertUpdateTakesEffect(client);
     }
   }
 
-  /** Idle clients take all descriptors that they can get; then discovery closes its connections. */
+  /** Idle clients take all available descriptors; then discovery closes its connections. */
   @Test
   void clientsTakeAllDescriptors() throws Exception {
     List<Socket> idle = new ArrayList<>();
--- a/router/src/test/java/rushwood/server/GracefulShutdownTest.java
+++ b/router/src/test/java/rushwood/server/GracefulShutdownTest.java
@@ -21,71 +21,72 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** SIGTERM while a router serves: each request that was taken has its whole answer. */
+/** SIGTERM while a router serves: each request that it accepted gets a complete answer. */
 class GracefulShutdownTest {
-  /** A request that comes later than this after SIGTERM and finds no router counts as lost. */
+  /** A request that finds no router later than this after SIGTERM counts as lost. */
   private static final long MAX_CLOSE_MILLIS = 700;
 
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.unstarted();
 
-  /** Open connections are served as long as possible: clients find no other router so soon. */
+  /** Open connections are served as long as possible; clients need time to find another router. */
   @Test
-  void servesOpenConnectionsUntilTheLastMoment() throws Exception {
+  void servesOpenConnectionsUntilTheDrain() throws Exception {
     router.launchAndAwaitReady();
-    Thread.sleep(500); // a pause during the start is past
+    Thread.sleep(500); // lets pauses during the start pass
     try (TestClient idle = router.connect()) {
       long signalledAt = router.terminate();
-      int count = 0;
+      int requestCount = 0;
       while (System.nanoTime() - signalledAt < 2_300_000_000L) {
-        assertEquals(SERVED, idle.query(read("r" + count++)));
-        Thread.sleep(10); // requests keep coming until the time is over
+        assertEquals(SERVED, idle.query(read("r" + requestCount++)));
+        Thread.sleep(10); // interval of the requests
       }
-      assertTrue(idle.isEnded());
+      assertTrue(idle.isClosedByRouter());
       router.assertExitsInTime(signalledAt);
     }
   }
 
   /**
-   * A process that was suspended lately may be again: idle clients see their connection end early
-   * enough for that.
+   * A process that was suspended recently may be suspended again, so the router closes idle
+   * connections earlier.
    */
   @Test
   void closesIdleConnectionsEarlierAfterAPause() throws Exception {
     router.launchAndAwaitReady();
     router.sendSignal("STOP");
-    Thread.sleep(1600); // the length of the pause
+    Thread.sleep(1600); // length of the pause
     router.sendSignal("CONT");
-    Thread.sleep(200); // what comes right after a pause may have come at its start
+    Thread.sleep(200); // a signal right after a pause counts from its start
     try (TestClient idle = router.connect();
         TestClient waiting = router.connect()) {
       assertEquals(SERVED, idle.query(read("r1")));
       router.replica().responder =
-          StandInBackend.respondAfter(
+          StandInBackend.respondAfterDelay(
               statement -> 1000, StandInBackend.rowResponse("v", "replica"));
       router.primary().responder = router.replica().responder;
       waiting.send(read("r2", 3000));
       awaitReceived("r2");
       long signalledAt = router.terminate();
-      assertTrue(idle.isEnded());
+      assertTrue(idle.isClosedByRouter());
       long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
       assertTrue(
+          // not at once, because new connections still arrive
           elapsedMillis > 200 && elapsedMillis < MAX_CLOSE_MILLIS,
-          "not at once, as new ones still come: after " + elapsedMillis + " ms");
+          "idle connection closed after " + elapsedMillis + " ms");
       assertEquals(SERVED, waiting.readResponse());
-      assertTrue(waiting.isEnded());
+      assertTrue(waiting.isClosedByRouter());
       router.assertExitsInTime(signalledAt);
     }
   }
 
   /**
-   * Clients that are idle and never leave, that wait for a response, also for longer than the
-   * process lives, that have pipelined requests, that have sent half of a statement.
+   * Clients that are idle and never disconnect, that wait for a response, one of them longer than
+   * the process runs, that have pipelined requests, or that have sent half of a statement.
    */
   @Test
   void terminatedWithConnectionsInEachState() throws Exception {
     router.launchAndAwaitReady();
     router.replica().responder =
-        StandInBackend.respondAfter(
+        StandInBackend.respondAfterDelay(
             GracefulShutdownTest::delayMillis, StandInBackend.rowResponse("v", "replica"));
     router.primary().responder = router.replica().responder;
     List<TestClient> idle = new ArrayList<>();
@@ -110,20 +111,23 @@
       awaitReceived("slow");
       awaitReceived("slow-ahead0");
       try (TestClient late = router.connect()) {
-        assertEquals(EMPTY, late.query(""), "the halves were read before");
+        assertEquals(EMPTY, late.query(""), "the router has read the halves before");
       }
       long signalledAt = router.terminate();
-      Thread.sleep(2000); // the second half comes late in the time that is left
+      Thread.sleep(2000); // the second half arrives late in the shutdown
       halfWritten.sendBytes(Arrays.copyOfRange(statement, firstHalf.length, statement.length));
       assertServedOrRejected(waiting.readResponse());
       assertServedOrRejected(halfWritten.readResponse());
       for (int i = 0; i < 4; i++) {
-        // they are served one at a time: no time is left for the last of them
+        // served one after the other, so that there is no time for the last of them
         assertServedOrRejected(pipelining.readResponse());
       }
-      assertEquals(REJECTED, hung.readResponse(), "another router may be asked again");
+      assertEquals(
+          REJECTED,
+          hung.readResponse(),
+          "rejected, so that the client can retry on another router");
       for (TestClient client : idle) {
-        assertTrue(client.isEnded());
+        assertTrue(client.isClosedByRouter());
       }
       router.assertExitsInTime(signalledAt);
     } finally {
@@ -134,26 +138,26 @@
     assertTrue(router.awaitLogLine("counters").contains("exceptions_caught=0"));
   }
 
-  /** Clients send requests up to the last moment: what got no response was never sent on. */
+  /** Clients send requests until the end: a request without a response reached no backend. */
   @Test
-  void unansweredRequestsWereNeverSent() throws Exception {
+  void unansweredRequestsReachNoBackend() throws Exception {
     router.launchAndAwaitReady();
     Set<String> unanswered = ConcurrentHashMap.newKeySet();
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
-      String name = "c" + i + "-";
+      String idPrefix = "c" + i + "-";
       threads.add(
           new Thread(
               () -> {
                 try (TestClient client = router.connect()) {
                   for (int next = 0; ; next++) {
-                    String id = name + next + ",";
+                    String id = idPrefix + next + ",";
                     unanswered.add(id);
-                    client.send(read(name + next));
+                    client.send(read(idPrefix + next));
                     client.readResponse();
                     unanswered.remove(id);
                   }
-                } catch (IOException ended) {
+                } catch (IOException connectionClosed) {
                   return;
                 }
               }));
@@ -161,29 +165,29 @@
     threads.forEach(Thread::start);
     Await.until(
         () -> router.receivedStatements().size() >= threads.size(),
-        () -> "the load does not begin");
+        () -> "backends received too few requests");
     long signalledAt = router.terminate();
     for (Thread thread : threads) {
-      Await.end(thread);
+      Await.termination(thread);
     }
     router.assertExitsInTime(signalledAt);
     int received = router.receivedStatements().size();
     assertTrue(received > 300, "backends received " + received + " statements");
     for (String id : unanswered) {
-      assertEquals(List.of(), router.receivedWithId(id));
+      assertEquals(List.of(), router.receivedWithIdPrefix(id));
     }
   }
 
-  /** A signal that comes during a suspension counts from the suspension's start. */
+  /** A signal that arrives during a suspension counts from the start of the suspension. */
   @Test
   void terminatedWhileSuspended() throws Exception {
     router.launchAndAwaitReady();
     try (TestClient client = router.connect()) {
       assertEquals(SERVED, client.query(read("r1")));
-      Thread.sleep(100); // turns without work lie between the request and the pause
+      Thread.sleep(100); // lets idle turns pass between the request and the pause
       router.sendSignal("STOP");
       long signalledAt = router.terminate();
-      Thread.sleep(1000); // the length of the pause after the signal
+      Thread.sleep(1000); // length of the pause after the signal
       router.sendSignal("CONT");
       client.send(read("r2", 5000));
       String answered = messageTypes(client.socket.getInputStream().readAllBytes());
@@ -191,17 +195,18 @@
           answered.equals(SERVED)
               || (answered.isEmpty()
                   && !router.replica().receivedStatements.toString().contains("id=r2,")),
-          "whole, or never sent on: " + answered);
+          "answered neither completely nor kept from the backends: " + answered);
       router.assertExitsInTime(signalledAt);
     }
   }
 
-  /** A request in flight is finished, and further ones are served on old and new connections. */
+  /** Finishes a request in flight and serves further ones on open and on new connections. */
   @Test
   void finishesAcceptedRequestsOnShutdown() throws Exception {
     router.launchAndAwaitReady();
     CountDownLatch release = new CountDownLatch(1);
-    router.replica().responder = StandInBackend.respondBehind(release, router.replica().responder);
+    router.replica().responder =
+        StandInBackend.respondAfterGate(release, router.replica().responder);
     try (TestClient idle = router.connect();
         TestClient busy = router.connect()) {
       busy.send(read("r1", 9000));
@@ -211,13 +216,13 @@
       try (TestClient late = router.connect()) {
         late.send(write("w1"));
         assertEquals(SERVED, late.readResponse());
-        assertEquals(SERVED, idle.query(write("w2")), "it serves on");
-        assertTrue(late.isEnded());
+        assertEquals(SERVED, idle.query(write("w2")), "the router still serves");
+        assertTrue(late.isClosedByRouter());
       }
-      assertTrue(idle.isEnded());
+      assertTrue(idle.isClosedByRouter());
       release.countDown();
       assertEquals(SERVED, busy.readResponse());
-      assertTrue(busy.isEnded());
+      assertTrue(busy.isClosedByRouter());
     }
     assertTrue(router.awaitLogLine("counters").contains("requests_succeeded=3"));
     router.awaitExit();
@@ -225,7 +230,8 @@
 
   private void awaitReceived(String id) throws Exception {
     Await.until(
-        () -> !router.receivedWithId(id + ",").isEmpty(), () -> id + " was not sent to a backend");
+        () -> !router.receivedWithIdPrefix(id + ",").isEmpty(),
+        () -> id + " was not sent to a backend");
   }
 
   private static long delayMillis(String statement) {
--- a/router/src/test/java/rushwood/server/MillisecondWaitStrategyTest.java
+++ b/router/src/test/java/rushwood/server/MillisecondWaitStrategyTest.java
@@ -16,11 +16,11 @@
 class MillisecondWaitStrategyTest {
   private static final int TIMER_COUNT = 100;
 
-  /** An event loop that has only timers polls its sockets about once for each of them. */
+  /** An event loop with nothing but timers polls its sockets about once per timer. */
   @Test
   void doesNotSpinBeforeTimers() throws Exception {
     AtomicInteger polls = new AtomicInteger();
-    IoHandlerFactory plain =
+    IoHandlerFactory countingFactory =
         NioIoHandler.newFactory(
             SelectorProvider.provider(),
             () ->
@@ -28,18 +28,19 @@
                   polls.incrementAndGet();
                   return hasTasks ? now.get() : SelectStrategy.SELECT;
                 });
-    EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondWaitStrategy.wrap(plain));
+    EventLoopGroup group =
+        new MultiThreadIoEventLoopGroup(1, MillisecondWaitStrategy.wrap(countingFactory));
     try {
       CountDownLatch done = new CountDownLatch(TIMER_COUNT);
       long[] maxDelayNanos = new long[1];
       for (int i = 1; i <= TIMER_COUNT; i++) {
-        long due = System.nanoTime() + i * 10_300_000L;
+        long dueTime = System.nanoTime() + i * 10_300_000L;
         group.schedule(
             () -> {
-              maxDelayNanos[0] = Math.max(maxDelayNanos[0], System.nanoTime() - due);
+              maxDelayNanos[0] = Math.max(maxDelayNanos[0], System.nanoTime() - dueTime);
               done.countDown();
             },
-            due - System.nanoTime(),
+            dueTime - System.nanoTime(),
             TimeUnit.NANOSECONDS);
       }
       assertTrue(done.await(20, TimeUnit.SECONDS));
--- a/router/src/test/java/rushwood/server/RouterProcessFixture.java
+++ b/router/src/test/java/rushwood/server/RouterProcessFixture.java
@@ -22,17 +22,17 @@
 import rushwood.config.RouterConfigFixture;
 
 /**
- * A router in a process of its own, with a primary, a replica and discovery as stand-ins on
- * loopback. A test class has it as a field with {@code @RegisterExtension}: it starts before each
- * test and stops after it.
+ * A router in a separate process, with stand-ins for a primary, a replica and discovery on
+ * loopback. A test class registers it with {@code @RegisterExtension}; it is started before and
+ * stopped after each test.
  */
 final class RouterProcessFixture implements BeforeEachCallback, AfterEachCallback {
-  /** The version of the list that discovery has at the start. */
+  /** The version of the first endpoint list that discovery serves. */
   static final int FIRST_LIST_VERSION = 41;
 
   /**
-   * From SIGTERM to SIGKILL: the longest request timeout of the settings, 5 s, counts as 3 s; 0.7 s
-   * are added.
+   * Time from SIGTERM to SIGKILL: 0.7 s plus the longest request timeout of the settings, 5 s,
+   * which counts as 3 s.
    */
   private static final long MAX_EXIT_MILLIS = 3700;
 
@@ -55,17 +55,17 @@
     this.settingsChange = settingsChange;
   }
 
-  /** A router that serves when a test begins. */
+  /** Returns a fixture whose router serves when a test starts. */
   static RouterProcessFixture started() {
     return startedWith(settings -> settings);
   }
 
-  /** The same with changed settings. */
+  /** Like {@link #started}, with changed settings. */
   static RouterProcessFixture startedWith(UnaryOperator<String> settingsChange) {
     return new RouterProcessFixture(true, settingsChange);
   }
 
-  /** A router that tests start themselves; stand-ins run, and the port is known before. */
+  /** Returns a fixture whose router the tests launch; stand-ins run and the port is known before. */
   static RouterProcessFixture unstarted() {
     return new RouterProcessFixture(false, settings -> settings);
   }
@@ -85,9 +85,9 @@
 
   @Override
   public void afterEach(ExtensionContext context) throws Exception {
-    process.toHandle().destroyForcibly(); // unlike Process.destroyForcibly, leaves its output open
+    process.toHandle().destroyForcibly(); // Process.destroyForcibly would close the output
     awaitExit();
-    assertEquals(List.of(), outputWith("LEAK"));
+    assertEquals(List.of(), outputContaining("LEAK"));
     discovery.close();
     primary.close();
     replica.close();
@@ -130,12 +130,12 @@
     return discovery;
   }
 
-  /** Where it listens. */
+  /** Returns the port on which the router listens for clients. */
   int port() {
     return port;
   }
 
-  /** Holds its configuration file, and what it writes itself. */
+  /** Returns the directory of the configuration file and the router's temporary files. */
   Path folder() {
     return folder;
   }
@@ -186,43 +186,43 @@
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
-  /** Sends SIGTERM at once and returns the time; the process's output stays open. */
+  /** Sends SIGTERM and returns the time of {@link System#nanoTime}; the output stays open. */
   long terminate() {
     process.toHandle().destroy();
     return System.nanoTime();
   }
 
-  /** Waits for its end. */
+  /** Waits for the router process to exit. */
   void awaitExit() throws InterruptedException {
     assertTrue(
         process.waitFor(Await.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
-        () -> "it has not ended: " + output());
+        () -> "the router has not exited: " + output());
   }
 
-  /** Waits for its end, and asserts that SIGKILL would not have come before that. */
+  /** Waits for the exit and asserts that it came before the time of SIGKILL. */
   void assertExitsInTime(long signalledAt) throws InterruptedException {
     awaitExit();
     long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
     assertTrue(
         elapsedMillis < MAX_EXIT_MILLIS,
-        () -> "it ended after " + elapsedMillis + " ms: " + output());
+        () -> "the router exited after " + elapsedMillis + " ms: " + output());
   }
 
-  /** All that it has printed since the last line that a test waited for. */
+  /** Returns the output of the router since the last line that a test waited for. */
   String output() {
     return String.join("\n", output);
   }
 
-  /** The lines of {@link #output} that contain the text. */
-  List<String> outputWith(String text) {
+  /** Returns the lines of {@link #output} that contain the text. */
+  List<String> outputContaining(String text) {
     return output.stream().filter(line -> line.contains(text)).toList();
   }
 
   String awaitLogLine(String text) throws InterruptedException {
-    return Await.first(output, line -> line.contains(text));
+    return Await.firstMatch(output, line -> line.contains(text));
   }
 
-  /** Writes the configuration that names this discovery. */
+  /** Writes a configuration with the address and the endpoint list of the given discovery. */
   void writeConfig(StandInDiscovery configuredDiscovery) throws IOException {
     Files.writeString(
         configFile(),
@@ -238,7 +238,7 @@
             + "}");
   }
 
-  /** Returns a list with the next version. */
+  /** Returns an endpoint list with the next version. */
   String endpointListJson(boolean complete, String... entries) {
     listVersion++;
     return "{\"version\":"
@@ -250,7 +250,7 @@
         + "]}";
   }
 
-  /** The version of the last list that was made. */
+  /** Returns the version of the endpoint list that was created last. */
   int listVersion() {
     return listVersion;
   }
@@ -267,16 +267,16 @@
         + "\"}";
   }
 
-  /** Makes discovery answer with both backends in that state and send them to a watch. */
+  /** Publishes both backends in the given state, in the complete list and to the watch. */
   void publishBackends(String state) {
-    String change =
+    String update =
         endpointListJson(
             false, endpointJson("a", primary, state), endpointJson("b", replica, state));
-    discovery.endpointList = change.replace("\"full\":false", "\"full\":true");
-    discovery.watchEvents.add(change);
+    discovery.endpointList = update.replace("\"full\":false", "\"full\":true");
+    discovery.watchEvents.add(update);
   }
 
-  /** Reads the counters until they meet the condition; fails if they do not in time. */
+  /** Reads the counters until they meet the condition; fails after the default timeout. */
   static CounterSnapshot awaitCounters(TestClient client, Predicate<CounterSnapshot> condition)
       throws Exception {
     CounterSnapshot[] latest = new CounterSnapshot[1];
@@ -289,8 +289,8 @@
     return latest[0];
   }
 
-  /** Returns what both backends have received with an id that begins with {@code idPrefix}. */
-  List<String> receivedWithId(String idPrefix) {
+  /** Returns the statements that the backends received whose id starts with {@code idPrefix}. */
+  List<String> receivedWithIdPrefix(String idPrefix) {
     return receivedStatements().stream()
         .filter(statement -> statement.contains("id=" + idPrefix))
         .toList();
--- a/router/src/test/java/rushwood/server/RouterServerTest.java
+++ b/router/src/test/java/rushwood/server/RouterServerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.RegisterExtension;
 
-/** Requests through a router process, with stand-in backends and discovery on loopback. */
+/** Requests through a router process, with stand-ins for backends and discovery. */
 class RouterServerTest {
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.started();
 
@@ -31,9 +31,9 @@
       assertTrue(timeoutMillis > 400 && timeoutMillis < 900, received);
       assertEquals(SERVED, client.query(write("w1")));
       assertTrue(router.primary().nextStatement().startsWith("INSERT"));
-      String longest = largeWrite("w2", 64 << 10);
-      assertEquals(SERVED, client.query(longest));
-      assertEquals(longest.length(), router.primary().nextStatement().length(), 3);
+      String largeStatement = largeWrite("w2", 64 << 10);
+      assertEquals(SERVED, client.query(largeStatement));
+      assertEquals(largeStatement.length(), router.primary().nextStatement().length(), 3);
       assertEquals("E(22023) Z", client.query(read("r2").replace("cluster=2", "cluster=9")));
       assertTrue(client.query("SHOW counters").startsWith("T D D"));
     }
--- a/router/src/test/java/rushwood/server/StandInBackend.java
+++ b/router/src/test/java/rushwood/server/StandInBackend.java
@@ -12,7 +12,8 @@
 import rushwood.protocol.TestMessages;
 
 /**
- * A database server whose responses a test sets. A response without its end ends the connection.
+ * A database server whose responses are set by a test. It closes the connection after a response
+ * that does not end with ReadyForQuery.
  */
 final class StandInBackend extends StandInServer {
   private static final int READY_MESSAGE_LENGTH = 6;
@@ -21,15 +22,15 @@
   final String role;
   volatile Function<String, byte[]> responder;
   volatile boolean resetsConnections;
-  volatile boolean keepsConnectionOpen; // also after a response without its end
-  volatile CountDownLatch startupGate = new CountDownLatch(0); // new connections wait for zero
+  volatile boolean keepsConnectionOpen; // also after an incomplete response
+  volatile CountDownLatch startupGate = new CountDownLatch(0); // delays startup responses
 
   StandInBackend(String role) throws IOException {
     this.role = role;
     responder = statement -> rowResponse(role, role);
   }
 
-  /** Returns a whole response of one row, from a backend that claims the role. */
+  /** Returns a complete response of one row that reports the role of the backend. */
   static byte[] rowResponse(String value, String role) {
     return TestMessages.concat(
         TestMessages.rowResponse(value),
@@ -38,11 +39,11 @@
   }
 
   /** Returns a responder that gives the response after a delay that depends on the statement. */
-  static Function<String, byte[]> respondAfter(
+  static Function<String, byte[]> respondAfterDelay(
       ToLongFunction<String> delayMillis, byte[] response) {
     return statement -> {
       try {
-        Thread.sleep(delayMillis.applyAsLong(statement)); // the response takes that long
+        Thread.sleep(delayMillis.applyAsLong(statement)); // the delay of the response
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -51,7 +52,7 @@
   }
 
   /** Returns a responder that waits for the gate before each response. */
-  static Function<String, byte[]> respondBehind(
+  static Function<String, byte[]> respondAfterGate(
       CountDownLatch gate, Function<String, byte[]> responder) {
     return statement -> {
       try {
@@ -63,9 +64,9 @@
     };
   }
 
-  /** Takes the next statement of a client that it has received; health checks are skipped. */
+  /** Waits for the next statement of a client and returns it; health checks are skipped. */
   String nextStatement() throws InterruptedException {
-    return Await.first(receivedStatements, statement -> !statement.startsWith("SHOW"));
+    return Await.firstMatch(receivedStatements, statement -> !statement.startsWith("SHOW"));
   }
 
   void respondWith(byte[] response) {
--- a/router/src/test/java/rushwood/server/StandInDiscovery.java
+++ b/router/src/test/java/rushwood/server/StandInDiscovery.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Discovery: answers with the endpoint list, or as a watch with the events that a test adds. */
+/** A discovery agent that serves an endpoint list, and watches with events added by a test. */
 final class StandInDiscovery extends StandInServer {
   final BlockingQueue<String> watchEvents = new LinkedBlockingQueue<>();
   final BlockingQueue<String> requestedPaths = new LinkedBlockingQueue<>();
   volatile String endpointList;
-  final AtomicInteger unansweredCalls = new AtomicInteger(); // of the next ones that are accepted
+  final AtomicInteger unansweredCalls = new AtomicInteger(); // calls still to be ignored
 
   StandInDiscovery() throws IOException {}
 
-  /** Waits for a watch on what changes after the version; calls for the list may precede it. */
+  /** Waits for a watch of the changes since the version; polls before it are skipped. */
   void awaitWatchRequest(int version) throws InterruptedException {
-    String next = Await.first(requestedPaths, path -> !path.equals("/registry/instances"));
+    String next = Await.firstMatch(requestedPaths, path -> !path.equals("/registry/instances"));
     assertEquals("/registry/instances?follow=1&since=" + version, next);
   }
 
@@ -33,7 +33,7 @@
         new BufferedReader(new InputStreamReader(connection.getInputStream(), UTF_8));
     String line = in.readLine();
     if (line == null) {
-      return; // closed before it asked
+      return; // closed without a request
     }
     String path = line.split(" ")[1];
     requestedPaths.add(path);
--- a/router/src/test/java/rushwood/server/StandInServer.java
+++ b/router/src/test/java/rushwood/server/StandInServer.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A server on loopback that serves each connection on a thread of its own. */
+/** A server on loopback that serves each connection on a separate thread. */
 abstract class StandInServer implements Closeable {
   private static final int LISTEN_BACKLOG = 50;
 
@@ -20,12 +20,12 @@
     startThread(this::acceptConnections);
   }
 
-  /** What a thread runs until the connection or the test is over. */
+  /** A task that ends with an exception when its connection or the test ends. */
   interface ThrowingTask {
     void run() throws IOException, InterruptedException;
   }
 
-  /** Starts a daemon thread that ends silently with an exception of its connection. */
+  /** Starts a daemon thread that ignores the exception with which its task ends. */
   static Thread startThread(ThrowingTask task) {
     Thread thread =
         new Thread(
@@ -33,7 +33,7 @@
               try {
                 task.run();
               } catch (IOException | InterruptedException e) {
-                return; // the connection or the test is over
+                return; // the connection or the test has ended
               }
             });
     thread.setDaemon(true);
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Serves one connection until it ends. */
+  /** Serves one connection; runs on the connection's thread. */
   abstract void serve(Socket connection) throws IOException, InterruptedException;
 
   String address() {
--- a/router/src/test/java/rushwood/server/StartupSignalTest.java
+++ b/router/src/test/java/rushwood/server/StartupSignalTest.java
@@ -20,12 +20,12 @@
 
 /** SIGTERM and SIGHUP while a router starts. */
 class StartupSignalTest {
-  /** From SIGTERM to the end of a process that does not serve. */
+  /** The longest time from SIGTERM to the exit of a process that does not serve. */
   private static final long MAX_EARLY_EXIT_MILLIS = 2500;
 
   @RegisterExtension final RouterProcessFixture router = RouterProcessFixture.unstarted();
 
-  /** SIGTERM as soon as the router can be reached, with a request on its way. */
+  /** SIGTERM as soon as the router accepts connections, with a request in transit. */
   @Test
   void terminatedAsItBeginsToListen() throws Exception {
     for (int i = 0; i < 3; i++) {
@@ -55,29 +55,29 @@
     throw new AssertionError("the router does not listen: " + router.output());
   }
 
-  /** SIGTERM before the router listens: it never does, and ends at once. */
+  /** SIGTERM before the router listens: it exits at once without listening. */
   @Test
   void terminatedBeforeItListens() throws Exception {
     router.discovery().unansweredCalls.set(1000);
     for (long delayMillis : new long[] {0, 300, 600, 900, 1200}) {
       router.launch();
-      Thread.sleep(delayMillis); // the moment of the signal is what varies
+      Thread.sleep(delayMillis); // the time of the signal is varied
       long signalledAt = router.terminate();
       router.awaitExit();
       long elapsedMillis = (System.nanoTime() - signalledAt) / 1_000_000;
       assertTrue(
-          elapsedMillis < MAX_EARLY_EXIT_MILLIS || !router.outputWith("serves at").isEmpty(),
+          elapsedMillis < MAX_EARLY_EXIT_MILLIS || !router.outputContaining("serves at").isEmpty(),
           () ->
               "SIGTERM "
                   + delayMillis
-                  + " ms after the launch: it ended after "
+                  + " ms after the launch, exited after "
                   + elapsedMillis
                   + " ms: "
                   + router.output());
     }
   }
 
-  /** SIGHUP twice during the start, first with half a file: the last file's discovery is used. */
+  /** Two SIGHUPs during the start, the first with a truncated file: the second file is used. */
   @Test
   void hangUpDuringStart() throws Exception {
     StandInDiscovery otherDiscovery = new StandInDiscovery();
@@ -91,13 +91,12 @@
       awaitWarmup();
       Files.writeString(router.configFile(), "{\"name\":");
       router.sendSignal("HUP");
-      Thread.sleep(100); // two signals at once may count as one
+      Thread.sleep(100); // keeps the two signals from being merged into one
       router.writeConfig(otherDiscovery);
       router.sendSignal("HUP");
       router.awaitLogLine("discovery is now at");
       otherDiscovery.awaitWatchRequest(router.listVersion());
-      Await.until(
-          this::isServing, () -> "the router has exited, or serves nobody: " + router.output());
+      Await.until(this::isServing, () -> "the router serves no request: " + router.output());
     } finally {
       otherDiscovery.close();
     }
@@ -113,7 +112,7 @@
     }
   }
 
-  /** Waits for the folder of the warm-up: then the program runs, and is far from being ready. */
+  /** Waits for the directory of the warm-up, which exists long before the router is ready. */
   private void awaitWarmup() throws Exception {
     Await.until(
         () ->
--- a/router/src/test/java/rushwood/server/Statements.java
+++ b/router/src/test/java/rushwood/server/Statements.java
@@ -5,8 +5,8 @@
 import rushwood.protocol.TestMessages;
 
 /**
- * What clients send, and the responses that they get as the types of their messages, see {@link
- * TestMessages#messageTypes}.
+ * Statements of clients and the expected responses, which are given as message types in the form of
+ * {@link TestMessages#messageTypes}.
  */
 final class Statements {
   static final String STARTED = "R S S S S S K Z";
@@ -15,7 +15,7 @@
   static final String REJECTED = "E(53300) Z";
   static final String FAILED = "E(58000) Z";
 
-  /** How long the client of a statement waits where the test does not say. */
+  /** Default request timeout. */
   private static final int REQUEST_TIMEOUT_MILLIS = 900;
 
   private Statements() {}
@@ -36,7 +36,7 @@
     return TestMessages.writeStatement(id, ",d=" + timeoutMillis);
   }
 
-  /** Returns a write of a value of that many bytes. */
+  /** Returns a write whose value has {@code valueBytes} bytes. */
   static String largeWrite(String id, int valueBytes) {
     return write(id).replace("9f03", "9f".repeat(valueBytes));
   }
--- a/router/src/test/java/rushwood/server/TestClient.java
+++ b/router/src/test/java/rushwood/server/TestClient.java
@@ -13,12 +13,12 @@
 import rushwood.protocol.TestMessages;
 
 /**
- * A client connection on which the startup is done. Responses are told as the types of their
- * messages, see {@link TestMessages#messageTypes}.
+ * A client connection that has completed the startup. Responses are returned as message types in
+ * the form of {@link TestMessages#messageTypes}.
  */
 final class TestClient implements Closeable {
   final Socket socket;
-  byte[] cancelKey; // with which another connection can cancel what runs here
+  byte[] cancelKey; // lets another connection cancel the request on this one
 
   TestClient(int port) throws IOException {
     socket = new Socket("127.0.0.1", port);
@@ -40,7 +40,7 @@
     return readResponse();
   }
 
-  /** Reads messages up to ReadyForQuery. */
+  /** Reads messages up to ReadyForQuery and returns their types. */
   String readResponse() throws IOException {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -72,13 +72,13 @@
     return new CounterSnapshot(values);
   }
 
-  /** Reads all bytes up to the end of the connection; fails if it is reset instead. */
+  /** Reads all bytes up to the end of the stream; fails if the connection is reset. */
   byte[] readToEnd() throws IOException {
     return socket.getInputStream().readAllBytes();
   }
 
-  /** Reads on and returns whether the router has ended the connection. */
-  boolean isEnded() throws IOException {
+  /** Reads one byte and returns whether the router has closed the connection instead. */
+  boolean isClosedByRouter() throws IOException {
     return socket.getInputStream().read() < 0;
   }
 
--- a/router/src/test/java/rushwood/server/WarmupTest.java
+++ b/router/src/test/java/rushwood/server/WarmupTest.java
@@ -19,12 +19,12 @@
 import rushwood.dispatch.Counters;
 
 class WarmupTest {
-  /** Enough on a busy machine too, where the 0.9 s of a real start may end before any answer. */
+  /** Enough for a busy machine, where the 0.9 s of a real start may end before any answer. */
   private static final long MAX_DURATION_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /**
-   * A warm-up in which no request is served or queued would leave the code cold, and nobody would
-   * see it.
+   * Guards against a warm-up that serves, rejects or queues no requests: it would leave that code
+   * uncompiled without any visible failure.
    */
   @Test
   void runsTheCodeOfRealRequests(@TempDir Path folder) throws Exception {
@@ -44,6 +44,6 @@
     assertTrue(counters.get(Counter.CONNECTIONS_REUSED) > 0, counters::toString);
     assertEquals(0, counters.get(Counter.INVARIANTS_VIOLATED));
     assertEquals(0, counters.get(Counter.STATEMENTS_REJECTED));
-    assertEquals(0, allocator.metric().usedHeapMemory(), "buffers are kept");
+    assertEquals(0, allocator.metric().usedHeapMemory(), "heap memory of unreleased buffers");
   }
 }
