--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -124,7 +124,8 @@
         Thread.sleep(600); // the primary gets no trial request before
       }
     }
-    assertTrue(totalExecutions > 1, "the primary was not tried again, writes sent: " + totalExecutions);
+    assertTrue(
+        totalExecutions > 1, "the primary was not tried again, writes sent: " + totalExecutions);
   }
 
   /**
--- a/router/src/test/java/rushwood/server/RouterProcessFixture.java
+++ b/router/src/test/java/rushwood/server/RouterProcessFixture.java
@@ -65,7 +65,7 @@
     return new RouterProcessFixture(true, settingsChange);
   }
 
-  /** Returns a fixture whose router the tests launch; stand-ins run and the port is known before. */
+  /** Returns a fixture whose tests launch the router; the stand-ins run, and the port is known. */
   static RouterProcessFixture unstarted() {
     return new RouterProcessFixture(false, settings -> settings);
   }
