--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -59,7 +59,7 @@
    */
   private static final long MIN_SERVING_NANOS = 550 * NANOS_PER_MILLI;
 
-  /** The longest time from SIGTERM to the shutdown hook, which takes the start of two threads. */
+  /** Upper bound of the time from SIGTERM to the shutdown hook, for which two threads start. */
   private static final long MAX_SIGNAL_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
   /** Time from the end of the sequence to SIGKILL, for the Java runtime to exit. */
@@ -68,7 +68,7 @@
   /** Interval of the checks whether to start the drain, and whether the drain is complete. */
   private static final long CHECK_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
 
-  /** Time from closing the listener to the last answer, to refuse connections accepted last. */
+  /** Time from closing the listener to the last answer; connections accepted last are refused. */
   private static final long LISTENER_RESERVE_NANOS = 2 * CHECK_INTERVAL_NANOS;
 
   private final EventLoopClock clock;
