--- a/router/src/main/java/rushwood/membership/DatagramCodec.java
+++ b/router/src/main/java/rushwood/membership/DatagramCodec.java
@@ -7,17 +7,20 @@
 import java.util.zip.CRC32;
 
 /**
- * Encodes a {@link PeerMessage} as one datagram, big-endian: format version (1 byte), kind (1),
- * sender's incarnation (8), sequence number (4), target (6), number of updates (1), the updates (21
- * each) and a CRC-32 of all before it (4). A member is its IPv4 address and port.
+ * Encodes and decodes a {@link PeerMessage} as one datagram.
  *
- * <p>A datagram with any fault is rejected as a whole.
+ * <p>The fields are big-endian, in this order: format version (1 byte), kind (1), the sender's
+ * incarnation (8), sequence number (4), target (6), number of updates (1), the updates (21 each)
+ * and a CRC-32 of all preceding bytes (4). An update consists of the member (6), its state (1), its
+ * incarnation (8) and the origin (6). A member is encoded as its IPv4 address (4) and port (2).
+ *
+ * <p>A malformed datagram is rejected as a whole.
  */
 public final class DatagramCodec {
-  /** Longest datagram; the platform voids a run for a longer one. */
+  /** Maximum size of a datagram. The platform invalidates a run that sends a longer one. */
   public static final int MAX_BYTES = 256;
 
-  /** Most updates of a datagram. {@link #MAX_BYTES} have room for 10.8. */
+  /** Maximum number of updates in a datagram. {@link #MAX_BYTES} would have room for 11. */
   static final int MAX_UPDATES = 10;
 
   private static final byte FORMAT_VERSION = 1;
@@ -28,11 +31,11 @@
   private static final int CHECKSUM_BYTES = Integer.BYTES;
   private static final int UPDATE_COUNT_OFFSET = HEADER_BYTES - Byte.BYTES;
 
-  /** A kind is sent as its index. */
+  /** Each kind is encoded as its index in this list. */
   private static final List<PeerMessage.Kind> KINDS =
       List.of(PeerMessage.Kind.PING, PeerMessage.Kind.ACK, PeerMessage.Kind.PING_REQ);
 
-  /** A state is sent as its index. */
+  /** Each state is encoded as its index in this list. */
   private static final List<MemberState> STATES =
       List.of(MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT);
 
@@ -46,28 +49,33 @@
   private DatagramCodec() {}
 
   /**
-   * Encodes a message.
+   * Encodes a message as a datagram of at most {@link #MAX_BYTES} bytes.
    *
-   * @throws IllegalArgumentException if it has more than ten updates
+   * @throws IllegalArgumentException if the message has more than 10 updates
    */
   public static byte[] encode(PeerMessage message) {
     List<MembershipUpdate> updates = message.updates();
     if (updates.size() > MAX_UPDATES) {
-      throw new IllegalArgumentException(updates.size() + " updates, " + MAX_UPDATES + " at most");
+      throw new IllegalArgumentException(
+          "message has " + updates.size() + " updates; at most " + MAX_UPDATES + " are allowed");
     }
     ByteBuffer out = ByteBuffer.allocate(encodedBytes(updates.size()));
     out.put(FORMAT_VERSION);
     out.put((byte) KINDS.indexOf(message.kind()));
     out.putLong(message.incarnation());
     out.putInt(message.sequenceNumber());
-    writeMember(out, message.target());
+    writeMemberId(out, message.target());
     out.put((byte) updates.size());
     updates.forEach(update -> writeUpdate(out, update));
-    out.putInt(crc(out.array(), out.position()));
+    out.putInt(crc32(out.array(), out.position()));
     return out.array();
   }
 
-  /** Decodes the first {@code length} bytes; empty if anything of the datagram is wrong. */
+  /**
+   * Decodes the datagram in the first {@code length} bytes.
+   *
+   * @return the message, or empty if the datagram is malformed
+   */
   public static Optional<PeerMessage> decode(byte[] bytes, int length) {
     if (!isIntact(bytes, length)) {
       return Optional.empty();
@@ -80,7 +88,7 @@
     }
     long incarnation = in.getLong();
     int sequenceNumber = in.getInt();
-    MemberId target = readMember(in);
+    MemberId target = readMemberId(in);
     int updateCount = Byte.toUnsignedInt(in.get());
     List<MembershipUpdate> updates = new ArrayList<>(updateCount);
     for (int i = 0; i < updateCount; i++) {
@@ -94,7 +102,7 @@
         new PeerMessage(KINDS.get(kind), incarnation, sequenceNumber, target, updates));
   }
 
-  /** Whether the length is that of the updates announced, and the checksum is right. */
+  /** Returns whether the length fits the encoded number of updates and the checksum matches. */
   private static boolean isIntact(byte[] bytes, int length) {
     if (length < encodedBytes(0) || length > MAX_BYTES || length > bytes.length) {
       return false;
@@ -103,8 +111,8 @@
     if (updateCount > MAX_UPDATES || length != encodedBytes(updateCount)) {
       return false;
     }
-    int checked = length - CHECKSUM_BYTES;
-    return ByteBuffer.wrap(bytes).getInt(checked) == crc(bytes, checked);
+    int checksumOffset = length - CHECKSUM_BYTES;
+    return ByteBuffer.wrap(bytes).getInt(checksumOffset) == crc32(bytes, checksumOffset);
   }
 
   private static int encodedBytes(int updateCount) {
@@ -112,32 +120,32 @@
   }
 
   private static void writeUpdate(ByteBuffer out, MembershipUpdate update) {
-    writeMember(out, update.member());
+    writeMemberId(out, update.member());
     out.put((byte) STATES.indexOf(update.state()));
     out.putLong(update.incarnation());
-    writeMember(out, update.origin());
+    writeMemberId(out, update.origin());
   }
 
   private static Optional<MembershipUpdate> readUpdate(ByteBuffer in) {
-    MemberId member = readMember(in);
+    MemberId member = readMemberId(in);
     int state = Byte.toUnsignedInt(in.get());
     long incarnation = in.getLong();
-    MemberId origin = readMember(in);
+    MemberId origin = readMemberId(in);
     return state < STATES.size()
         ? Optional.of(new MembershipUpdate(member, STATES.get(state), incarnation, origin))
         : Optional.empty();
   }
 
-  private static void writeMember(ByteBuffer out, MemberId id) {
+  private static void writeMemberId(ByteBuffer out, MemberId id) {
     out.putInt(id.address());
     out.putShort((short) id.port());
   }
 
-  private static MemberId readMember(ByteBuffer in) {
+  private static MemberId readMemberId(ByteBuffer in) {
     return new MemberId(in.getInt(), Short.toUnsignedInt(in.getShort()));
   }
 
-  private static int crc(byte[] bytes, int length) {
+  private static int crc32(byte[] bytes, int length) {
     CRC32 crc = new CRC32();
     crc.update(bytes, 0, length);
     return (int) crc.getValue();
--- a/router/src/main/java/rushwood/membership/GossipReports.java
+++ b/router/src/main/java/rushwood/membership/GossipReports.java
@@ -7,43 +7,53 @@
 import java.util.TreeSet;
 
 /**
- * What peers reported of database hosts, each report with its age. A report beyond the maximum age
- * is not used, and an observation counts only if a quorum of members reported it independently, so
- * that one faulty or outdated peer cannot take a host out of service. The number of hosts and of
- * reports for each is bounded; expired reports are removed when their host is looked up.
+ * Collects the observations of database hosts that peers report, each with its age.
+ *
+ * <p>Reports that have reached the maximum age are ignored. An observation is to be acted on only
+ * if a quorum of members reported it independently, so that a single faulty or outdated peer cannot
+ * take a host out of service. The number of hosts and the number of reports for each host are
+ * bounded; expired reports are removed when their host is summarized.
+ *
+ * <p>Times are nanoseconds of one clock, that of this router.
  */
 public final class GossipReports {
-  /** Deployments have up to 1,024 hosts; twice that leaves room while a list changes. */
+  /** Twice the size of the largest deployment, 1,024 hosts, to leave room while a list changes. */
   static final int MAX_ENDPOINTS = 2048;
 
-  /** A quorum in a deployment of 100 routers needs fewer. */
+  /** More than a quorum needs in a deployment of 100 routers. */
   static final int MAX_REPORTS_PER_ENDPOINT = 32;
 
-  /** What a member saw of a host. */
+  /** A condition of a host that a member has observed. */
   public enum Observation {
-    /** It takes no connections. */
+    /** The host does not accept connections. */
     UNREACHABLE,
-    /** It has started a short time ago and is slow. */
+    /** The host started recently and is still slow. */
     COLD,
-    /** It is about to leave. */
+    /** The host is about to leave. */
     DRAINING,
-    /** It takes the writes of its group. */
+    /** The host is the primary of its group, which takes the writes. */
     PRIMARY,
-    /** It is a replica far behind its primary. */
+    /** The host is a replica that is far behind its primary. */
     LAGGING
   }
 
-  /** {@code observedAt}: by the receiver's clock, the age at sending taken off. */
+  /**
+   * One report.
+   *
+   * @param observedAt time of the observation by this router's clock: the time of receipt minus the
+   *     age that the report had then
+   */
   private record Report(MemberId reporter, Observation observation, long observedAt) {}
 
   /**
-   * The reports of one observation.
+   * Summary of the unexpired reports of one observation of one host.
    *
-   * @param reporters how many members made it
-   * @param youngestAgeNanos of the latest report; {@link Long#MAX_VALUE} if there is none
-   * @param hasQuorum whether the reporters are enough to act on
+   * @param reporterCount number of members that reported the observation
+   * @param latestObservationAgeNanos age of the most recent observation; {@link Long#MAX_VALUE} if
+   *     there is no report
+   * @param hasQuorum whether enough members reported the observation to act on it
    */
-  public record Summary(int reporters, long youngestAgeNanos, boolean hasQuorum) {
+  public record Summary(int reporterCount, long latestObservationAgeNanos, boolean hasQuorum) {
     static final Summary NONE = new Summary(0, Long.MAX_VALUE, false);
   }
 
@@ -55,26 +65,28 @@
   /**
    * Creates an empty collection.
    *
-   * @param maxAgeNanos age from which a report is not used; above zero
-   * @param quorum how many members have to report the same; 1 at least
-   * @throws InvalidSettingException for a parameter outside its bounds
+   * @param maxAgeNanos age at which a report expires; positive
+   * @param quorum number of members that have to report the same observation; at least 1
+   * @throws InvalidSettingException if a parameter is out of bounds
    */
   public GossipReports(long maxAgeNanos, int quorum) {
     if (maxAgeNanos <= 0) {
-      throw new InvalidSettingException("maxAgeNanos", "must be above zero");
+      throw new InvalidSettingException("maxAgeNanos", "must be positive");
     }
     if (quorum < 1) {
-      throw new InvalidSettingException("quorum", "must be 1 at least");
+      throw new InvalidSettingException("quorum", "must be at least 1");
     }
     this.maxAgeNanos = maxAgeNanos;
     this.quorum = quorum;
   }
 
   /**
-   * Adds a report, in place of an earlier one of the same reporter and observation. It is dropped
-   * and counted if it is too old, if its age is negative, or if there are too many hosts.
+   * Adds a report, replacing an earlier one of the same observation of this host by the same
+   * reporter. The report is dropped and counted if it has expired, if its age is negative, or if it
+   * is about a new host and the maximum number of hosts is reached. If the host then has too many
+   * reports, the one added first is removed.
    *
-   * @param ageNanos how long before {@code now} the observation was made
+   * @param ageNanos time from the observation until {@code now}
    */
   public void add(
       long now, MemberId reporter, String endpoint, Observation observation, long ageNanos) {
@@ -94,7 +106,9 @@
     }
   }
 
-  /** Summarizes the reports of one observation, and removes the host's expired reports. */
+  /**
+   * Returns a summary of the reports of one observation, and removes the host's expired reports.
+   */
   public Summary summarize(long now, String endpoint, Observation observation) {
     Deque<Report> reports = reportsByEndpoint.get(endpoint);
     if (reports == null) {
@@ -106,21 +120,21 @@
       return Summary.NONE;
     }
     TreeSet<MemberId> reporters = new TreeSet<>();
-    long youngestAge = Long.MAX_VALUE;
+    long minAge = Long.MAX_VALUE;
     for (Report report : reports) {
       if (report.observation() == observation) {
         reporters.add(report.reporter());
-        youngestAge = Math.min(youngestAge, now - report.observedAt());
+        minAge = Math.min(minAge, now - report.observedAt());
       }
     }
     return reporters.isEmpty()
         ? Summary.NONE
-        : new Summary(reporters.size(), youngestAge, reporters.size() >= quorum);
+        : new Summary(reporters.size(), minAge, reporters.size() >= quorum);
   }
 
   /**
-   * A reporter has found a host healthy: removes what it reported of the host, except that it is
-   * the primary.
+   * Removes a reporter's reports of a host that the reporter now finds healthy, except a report
+   * that the host is the primary.
    */
   public void retract(MemberId reporter, String endpoint) {
     Deque<Report> reports = reportsByEndpoint.get(endpoint);
@@ -131,7 +145,7 @@
     }
   }
 
-  /** How many reports were not added. */
+  /** Returns the number of reports that {@link #add} has dropped. */
   public long droppedReports() {
     return droppedReports;
   }
--- a/router/src/main/java/rushwood/membership/InvalidSettingException.java
+++ b/router/src/main/java/rushwood/membership/InvalidSettingException.java
@@ -1,17 +1,21 @@
 package rushwood.membership;
 
-/** A parameter of {@link MembershipSettings} or {@link GossipReports} that is out of its bounds. */
+/** Thrown when a parameter of {@link MembershipSettings} or {@link GossipReports} is invalid. */
 public final class InvalidSettingException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
   private final String field;
 
-  /** The message is the field, then {@code reason}, as in "period must be above zero". */
+  /**
+   * Creates an exception whose message consists of the parameter's name and the reason.
+   *
+   * @param reason the constraint that the value violates, such as "must be positive"
+   */
   InvalidSettingException(String field, String reason) {
     super(field + " " + reason);
     this.field = field;
   }
 
-  /** The parameter's name. */
+  /** Returns the name of the invalid parameter. */
   public String field() {
     return field;
   }
--- a/router/src/main/java/rushwood/membership/LocalHealth.java
+++ b/router/src/main/java/rushwood/membership/LocalHealth.java
@@ -1,8 +1,9 @@
 package rushwood.membership;
 
 /**
- * Lifeguard's local health: a score of signs that this router itself is slow or cut off. Its
- * timeouts grow with the score, so that it does not blame its peers for its own delays.
+ * Lifeguard's local health score, which rises with each sign that this router itself is slow or cut
+ * off. This router's timeouts grow with the score, so that it does not blame its own delays on its
+ * peers.
  */
 final class LocalHealth {
   private final int maxScore;
@@ -12,22 +13,22 @@
     this.maxScore = maxScore;
   }
 
-  /** 0 for good health, up to the maximum of the settings. */
+  /** Returns the score, from 0 for good health up to the configured maximum. */
   int score() {
     return score;
   }
 
-  /** What timeouts are multiplied by. */
+  /** Returns the factor by which timeouts are multiplied, at least 1. */
   long timeoutFactor() {
     return score + 1L;
   }
 
-  /** A probe was missed, or this router had to refute a suspicion. */
+  /** Raises the score: a probe was missed, or this router had to refute a false update. */
   void degrade() {
     score = Math.min(maxScore, score + 1);
   }
 
-  /** A probe was answered directly. */
+  /** Lowers the score: the target of a probe answered directly. */
   void improve() {
     score = Math.max(0, score - 1);
   }
--- a/router/src/main/java/rushwood/membership/LocalMember.java
+++ b/router/src/main/java/rushwood/membership/LocalMember.java
@@ -1,6 +1,6 @@
 package rushwood.membership;
 
-/** This router as a member: its address, its incarnation and whether it is leaving. */
+/** This router's own membership: its address, its incarnation and whether it is leaving. */
 final class LocalMember {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -9,8 +9,8 @@
   private boolean leaving;
 
   /**
-   * The first incarnation is the start in Unix milliseconds, above those of any earlier process at
-   * the same address.
+   * Creates a member whose first incarnation is {@code now} in Unix milliseconds, so that it is
+   * higher than the incarnations of earlier processes at the same address.
    */
   LocalMember(MemberId id, long now) {
     this.id = id;
@@ -29,24 +29,25 @@
     return leaving;
   }
 
-  void leave() {
+  void markLeaving() {
     leaving = true;
   }
 
   /**
-   * Whether an update about this router is wrong and at an incarnation that peers would believe.
+   * Returns whether an update falsely says that this router is not alive, at an incarnation that
+   * makes peers believe it.
    */
   boolean mustRefute(MembershipUpdate update) {
     return !leaving && update.state() != MemberState.ALIVE && update.incarnation() >= incarnation;
   }
 
-  /** Takes the first incarnation that overrides the update. */
+  /** Raises the incarnation to the lowest that overrides the update. */
   void refute(MembershipUpdate update) {
     incarnation = update.incarnation() + 1;
   }
 
-  /** An update that says this state of this router, at its current incarnation. */
-  MembershipUpdate update(MemberState state) {
+  /** Returns an update that announces a state of this router at its current incarnation. */
+  MembershipUpdate newUpdate(MemberState state) {
     return new MembershipUpdate(id, state, incarnation, id);
   }
 }
--- a/router/src/main/java/rushwood/membership/Member.java
+++ b/router/src/main/java/rushwood/membership/Member.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What this router holds of one other member. */
+/** The state of one other member, as this router knows it. */
 final class Member {
   private final MemberId id;
   private final Set<MemberId> suspecters = new TreeSet<>();
@@ -11,7 +11,9 @@
   private long incarnation;
   private long stateSince;
 
-  /** A member is taken for alive, at incarnation 0, until something is heard of it. */
+  /**
+   * Creates a member that is presumed alive, at incarnation 0, until an update about it arrives.
+   */
   Member(MemberId id, long now) {
     this.id = id;
     this.stateSince = now;
@@ -29,35 +31,40 @@
     return incarnation;
   }
 
-  /** When the state last changed. */
+  /** Returns the time at which the state last changed. */
   long stateSince() {
     return stateSince;
   }
 
-  /** An update by {@code origin} that says another state of this member, at its incarnation. */
-  MembershipUpdate updateTo(MemberState newState, MemberId origin) {
+  /** Returns an update by {@code origin} that gives this member a new state, at its incarnation. */
+  MembershipUpdate newUpdate(MemberState newState, MemberId origin) {
     return new MembershipUpdate(id, newState, incarnation, origin);
   }
 
-  /** Members that said independently that this one is suspect, beyond the first to say so. */
+  /**
+   * Returns the number of members that independently suspect this one, in addition to the first.
+   */
   int confirmations() {
     return suspecters.size() - 1;
   }
 
-  /** Counts {@code origin} among those who suspect this member, unless enough do already. */
+  /**
+   * Adds {@code origin} to the members that suspect this one, unless these are already {@code
+   * maxSuspecters}.
+   */
   void addSuspecter(MemberId origin, int maxSuspecters) {
     if (suspecters.size() < maxSuspecters) {
       suspecters.add(origin);
     }
   }
 
-  /** Whether this member is suspect at that incarnation. */
-  boolean isSuspectAt(long otherIncarnation) {
-    return state == MemberState.SUSPECT && incarnation == otherIncarnation;
+  /** Returns whether this member is suspect at the given incarnation. */
+  boolean isSuspectAt(long suspectedIncarnation) {
+    return state == MemberState.SUSPECT && incarnation == suspectedIncarnation;
   }
 
   /**
-   * Takes state and incarnation of an update and forgets who suspected the member before.
+   * Adopts the state and incarnation of an update and clears the members that suspect this one.
    *
    * @return whether the state changed
    */
--- a/router/src/main/java/rushwood/membership/MemberId.java
+++ b/router/src/main/java/rushwood/membership/MemberId.java
@@ -1,9 +1,10 @@
 package rushwood.membership;
 
 /**
- * A router, by the IPv4 address and port that its peers send to. Ordered by address, then port.
+ * Identifies a router by the IPv4 address and port to which its peers send datagrams. Ordered by
+ * address, then by port.
  *
- * @param address the four octets, the first in the highest byte
+ * @param address the four octets, the first in the most significant byte
  * @param port 0 to 65535
  */
 public record MemberId(int address, int port) implements Comparable<MemberId> {
@@ -11,23 +12,23 @@
   private static final int OCTETS = 4;
   private static final int MAX_OCTET = 255;
 
-  /** Checks the port. */
+  /** Throws {@link IllegalArgumentException} if the port is out of range. */
   public MemberId {
     if (port < 0 || port > MAX_PORT) {
-      throw new IllegalArgumentException("port " + port + " is not one of 0 to 65535");
+      throw new IllegalArgumentException("port " + port + " is out of range 0 to " + MAX_PORT);
     }
   }
 
   /**
-   * Parses "a.b.c.d:port".
+   * Parses an IPv4 address and port of the form "a.b.c.d:port".
    *
-   * @throws IllegalArgumentException for anything else, as a host name or an IPv6 address
+   * @throws IllegalArgumentException for any other text, such as a host name or an IPv6 address
    */
   public static MemberId parse(String text) {
     int colon = text.lastIndexOf(':');
     String[] parts = colon < 0 ? new String[0] : text.substring(0, colon).split("\\.", -1);
     if (parts.length != OCTETS) {
-      throw new IllegalArgumentException("'" + text + "' is not an IPv4 address with a port");
+      throw new IllegalArgumentException("'" + text + "' is not of the form a.b.c.d:port");
     }
     int address = 0;
     for (String part : parts) {
@@ -42,8 +43,8 @@
 
   @Override
   public int compareTo(MemberId other) {
-    int byAddress = Integer.compareUnsigned(address, other.address);
-    return byAddress != 0 ? byAddress : Integer.compare(port, other.port);
+    int addressOrder = Integer.compareUnsigned(address, other.address);
+    return addressOrder != 0 ? addressOrder : Integer.compare(port, other.port);
   }
 
   @Override
--- a/router/src/main/java/rushwood/membership/MemberState.java
+++ b/router/src/main/java/rushwood/membership/MemberState.java
@@ -1,17 +1,23 @@
 package rushwood.membership;
 
-/** State of a member. At one incarnation a later state in this order overrides an earlier one. */
+/**
+ * State of a member. The order of the constants is their precedence: at the same incarnation, a
+ * later constant overrides an earlier one.
+ */
 public enum MemberState {
-  /** Answers probes, or nothing else has been heard of it. */
+  /** Presumed to be running; also the initial state of every member. */
   ALIVE,
-  /** Did not answer a probe; may still refute that. */
+  /** Did not answer a probe, but can still refute the suspicion. */
   SUSPECT,
   /** Did not refute the suspicion in time. */
   DEAD,
-  /** Said itself that it shuts down. */
+  /** Announced its own shutdown. */
   LEFT;
 
-  /** Whether such a member is probed, asked to relay and counted in the view's size. */
+  /**
+   * Returns whether a member in this state is probed in turn, asked to relay probes and counted in
+   * {@link Membership#size}.
+   */
   public boolean isActive() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/router/src/main/java/rushwood/membership/MemberTable.java
+++ b/router/src/main/java/rushwood/membership/MemberTable.java
@@ -7,22 +7,22 @@
 import java.util.function.Predicate;
 
 /**
- * The other members of the deployment and their states. The members are those of the peer list for
- * good: nothing that is heard adds one.
+ * The other members of the deployment and their states. The peer list determines the members;
+ * messages never add one.
  */
 final class MemberTable {
-  /** Deployments have 100 routers; this bounds the memory of a wrong peer list. */
+  /** Bounds the memory that a wrong peer list can take. Deployments have 100 routers. */
   static final int MAX_MEMBERS = 1024;
 
   private final Map<MemberId, Member> members = new TreeMap<>();
   private long version;
   private long lastChangeAt;
 
-  /** A table of the peers but {@code self}. */
+  /** Creates a table of all peers except {@code self}, each of them alive. */
   MemberTable(MemberId self, List<MemberId> peers, long now) {
     if (peers.size() > MAX_MEMBERS) {
       throw new IllegalArgumentException(
-          "membership: " + peers.size() + " peers, " + MAX_MEMBERS + " at most");
+          "peer list has " + peers.size() + " entries; at most " + MAX_MEMBERS + " are allowed");
     }
     for (MemberId peer : peers) {
       if (!peer.equals(self)) {
@@ -32,7 +32,7 @@
     lastChangeAt = now;
   }
 
-  /** The member; empty for one outside the peer list. */
+  /** Returns the member; empty for this router and for an id that is not in the peer list. */
   Optional<Member> find(MemberId id) {
     return Optional.ofNullable(members.get(id));
   }
@@ -41,27 +41,27 @@
     return members.containsKey(id);
   }
 
-  /** Members in any state, this router not among them. */
+  /** Returns the number of members in any state, without this router. */
   int size() {
     return members.size();
   }
 
-  /** Members that are alive or suspect, in the order of their addresses. */
-  List<MemberId> active() {
-    return idsOf(member -> member.state().isActive());
+  /** Returns the members that are alive or suspect, in the order of their ids. */
+  List<MemberId> activeMembers() {
+    return idsMatching(member -> member.state().isActive());
   }
 
-  /** Members declared dead since less than {@code retention} nanoseconds. */
-  List<MemberId> recentlyDead(long now, long retention) {
-    return idsOf(
-        member -> member.state() == MemberState.DEAD && now - member.stateSince() < retention);
+  /** Returns the members that were declared dead less than {@code retentionNanos} ago. */
+  List<MemberId> recentlyDeadMembers(long now, long retentionNanos) {
+    return idsMatching(
+        member -> member.state() == MemberState.DEAD && now - member.stateSince() < retentionNanos);
   }
 
-  private List<MemberId> idsOf(Predicate<Member> condition) {
+  private List<MemberId> idsMatching(Predicate<Member> condition) {
     return members.values().stream().filter(condition).map(Member::id).toList();
   }
 
-  /** Gives a member the state and incarnation of an update. */
+  /** Applies an update to a member, and records the time if the member's state changes. */
   void apply(Member member, MembershipUpdate update, long now) {
     if (member.apply(update, now)) {
       version++;
@@ -69,11 +69,12 @@
     }
   }
 
-  /** Grows by one with each change of a member's state. */
+  /** Returns the number of changes of a member's state since the start. */
   long version() {
     return version;
   }
 
+  /** Returns the time of the last change of a member's state, or of the start if none. */
   long lastChangeAt() {
     return lastChangeAt;
   }
--- a/router/src/main/java/rushwood/membership/Membership.java
+++ b/router/src/main/java/rushwood/membership/Membership.java
@@ -6,12 +6,12 @@
 import java.util.SplittableRandom;
 
 /**
- * One router's view of the members of its deployment. The caller passes in the messages received
- * and the time, and sends the messages that are returned.
+ * One router's view of the members of its deployment. The caller passes in the time and the
+ * messages received, and sends the messages that the methods return.
  *
- * <p>Of what is said about a member, a higher incarnation overrides a lower one, and at the same
- * incarnation a state overrides those before it in {@link MemberState}. Times are whole nanoseconds
- * of Unix time.
+ * <p>Of two updates about a member, the one with the higher incarnation overrides the other; at the
+ * same incarnation, the one whose state comes later in {@link MemberState} does. Times are Unix
+ * times in nanoseconds.
  */
 public final class Membership {
   private final LocalMember self;
@@ -28,11 +28,12 @@
   private final ProbeRelay probeRelay;
 
   /**
-   * Starts with all peers alive.
+   * Creates a view in which all peers are alive, and schedules the first probe for {@code now}.
    *
-   * @param localId this router's address, as in its peers' lists
-   * @param peers the members of the deployment, this router among them or not; 1,024 at most
-   * @param now the start, from which the first incarnation is taken
+   * @param localId this router's address, as in the peer lists of the other routers
+   * @param peers the members of the deployment, with or without this router; at most 1,024
+   * @param seed seed of the random choice of members to probe, to relay probes and to notify
+   * @param now time of the start, which determines the first incarnation
    * @throws IllegalArgumentException if there are too many peers
    */
   public Membership(
@@ -47,30 +48,40 @@
     suspicionTimers = new SuspicionTimers(self, settings, localHealth, timers, this::applyUpdate);
     ProbeTargets targets =
         new ProbeTargets(members, settings.deadRetentionNanos(), counters, random);
-    prober = new Prober(settings, targets, localHealth, outbox, timers, new ProbeEvents());
+    prober = new Prober(settings, targets, localHealth, outbox, timers, new ProbeListener());
     probeRelay = new ProbeRelay(self, settings, members, outbox, timers);
-    dissemination.add(self.update(MemberState.ALIVE));
+    dissemination.add(self.newUpdate(MemberState.ALIVE));
     prober.start(now);
   }
 
-  /** Runs what is due by {@code now}. */
+  /**
+   * Runs the tasks that are due at or before {@code now}.
+   *
+   * @return the messages to send
+   */
   public List<OutgoingMessage> tick(long now) {
     timers.runDue(now);
     return outbox.drain();
   }
 
-  /** When {@link #tick} is next needed; {@link Long#MAX_VALUE} for not at all. */
+  /**
+   * Returns the time at which {@link #tick} has to be called next; {@link Long#MAX_VALUE} for
+   * never.
+   */
   public long nextTickAt() {
     return timers.nextDueAt();
   }
 
   /**
-   * A message has arrived. It is dropped if its sender is outside the peer list. The codec bounds
-   * the updates of a datagram; messages that were built otherwise are bounded here.
+   * Handles a message from another member. The message is dropped and counted if its sender is not
+   * in the peer list or if it has more updates than {@link DatagramCodec} accepts, which is
+   * possible only for a message that did not come through the codec.
+   *
+   * @return the messages to send
    */
-  public List<OutgoingMessage> received(long now, MemberId from, PeerMessage message) {
+  public List<OutgoingMessage> handleMessage(long now, MemberId from, PeerMessage message) {
     if (!members.contains(from) || message.updates().size() > DatagramCodec.MAX_UPDATES) {
-      counters.countUnknownSender();
+      counters.countDroppedMessage();
       return outbox.drain();
     }
     applyUpdate(now, new MembershipUpdate(from, MemberState.ALIVE, message.incarnation(), from));
@@ -78,24 +89,28 @@
     switch (message.kind()) {
       case PING -> outbox.send(from, PeerMessage.Kind.ACK, message.sequenceNumber(), self.id());
       case PING_REQ -> probeRelay.relay(now, from, message);
-      case ACK -> ackReceived(from, message.sequenceNumber());
+      case ACK -> handleAck(from, message.sequenceNumber());
     }
     return outbox.drain();
   }
 
-  private void ackReceived(MemberId from, int sequenceNumber) {
-    if (!prober.ackReceived(from, sequenceNumber)) {
-      probeRelay.ackReceived(sequenceNumber);
+  private void handleAck(MemberId from, int sequenceNumber) {
+    if (!prober.handleAck(from, sequenceNumber)) {
+      probeRelay.handleAck(sequenceNumber);
     }
   }
 
-  /** This router shuts down: it tells some members so and probes no more. */
+  /**
+   * Announces this router's shutdown to some members and stops probing.
+   *
+   * @return the messages to send
+   */
   public List<OutgoingMessage> leave() {
-    self.leave();
+    self.markLeaving();
     prober.stop();
-    MembershipUpdate left = self.update(MemberState.LEFT);
+    MembershipUpdate left = self.newUpdate(MemberState.LEFT);
     dissemination.add(left);
-    List<MemberId> active = members.active();
+    List<MemberId> active = members.activeMembers();
     int recipients = Math.min(active.size(), settings.indirectProbes() + 1);
     for (int i = 0; i < recipients; i++) {
       MemberId to = active.get(random.nextInt(active.size()));
@@ -104,12 +119,12 @@
     return outbox.drain();
   }
 
-  /** Empty for a member outside the peer list, and for this router. */
+  /** Returns a member's state; empty for this router and for an id that is not in the peer list. */
   public Optional<MemberState> stateOf(MemberId id) {
     return members.find(id).map(Member::state);
   }
 
-  /** The highest incarnation heard of; empty for a member outside the peer list. */
+  /** Returns the highest known incarnation of a member; empty if it is not in the peer list. */
   public OptionalLong incarnationOf(MemberId id) {
     if (id.equals(self.id())) {
       return OptionalLong.of(self.incarnation());
@@ -117,37 +132,39 @@
     return members.find(id).stream().mapToLong(Member::incarnation).findFirst();
   }
 
-  /** Members that are alive or suspect, and this router. */
+  /** Returns the number of members that are alive or suspect, including this router. */
   public int size() {
-    return members.active().size() + 1;
+    return members.activeMembers().size() + 1;
   }
 
-  /** Grows by one with each change of a member's state. */
+  /** Returns the number of changes of another member's state since the start. */
   public long version() {
     return members.version();
   }
 
-  /** Whether no member's state has changed for the time that the settings name. */
+  /**
+   * Returns whether no member's state has changed for {@link MembershipSettings#stableAfterNanos}.
+   */
   public boolean isStable(long now) {
     return now - members.lastChangeAt() >= settings.stableAfterNanos();
   }
 
-  /** This router's own incarnation. */
+  /** Returns this router's own incarnation. */
   public long incarnation() {
     return self.incarnation();
   }
 
-  /** 0 if this router seems healthy to itself; the higher, the longer its timeouts. */
+  /** Returns the local health score: 0 for good health; timeouts grow with the score. */
   public int localHealthScore() {
     return localHealth.score();
   }
 
-  /** Live counters, not a copy. */
+  /** Returns the live counters, not a copy. */
   public MembershipCounters counters() {
     return counters;
   }
 
-  private final class ProbeEvents implements Prober.Listener {
+  private final class ProbeListener implements Prober.Listener {
     @Override
     public void probeMissed(long now, MemberId target) {
       counters.countMissedProbe();
@@ -155,7 +172,7 @@
       members
           .find(target)
           .filter(member -> member.state() == MemberState.ALIVE)
-          .ifPresent(member -> applyUpdate(now, member.updateTo(MemberState.SUSPECT, self.id())));
+          .ifPresent(member -> applyUpdate(now, member.newUpdate(MemberState.SUSPECT, self.id())));
     }
 
     @Override
@@ -165,20 +182,22 @@
   }
 
   /**
-   * What is said about a member, here or by a peer:
+   * Applies an update that this router or a peer created:
    *
    * <ol>
-   *   <li>about this router: refuted if it is wrong;
-   *   <li>about a member outside the peer list: dropped, the sender has another list;
-   *   <li>a suspicion that is held already: a confirmation of it, which shortens its timeout;
-   *   <li>one that {@linkplain MembershipUpdate#overrides overrides} what is held: held from now on
-   *       and passed on, a suspicion with a timeout;
-   *   <li>anything else: dropped, as something newer is held.
+   *   <li>an update about this router is refuted if it is false;
+   *   <li>an update about a member that is not in the peer list is ignored: the sender's peer list
+   *       differs from this router's;
+   *   <li>a repeated suspicion at the same incarnation counts as a confirmation, which shortens the
+   *       suspicion timeout;
+   *   <li>an update that {@linkplain MembershipUpdate#overrides overrides} the known state is
+   *       adopted and disseminated, and a suspicion starts its timeout;
+   *   <li>any other update is ignored, because the known state is newer.
    * </ol>
    */
   private void applyUpdate(long now, MembershipUpdate update) {
     if (update.member().equals(self.id())) {
-      refuteIfWrong(update);
+      refuteIfFalse(update);
       return;
     }
     members.find(update.member()).ifPresent(member -> applyUpdate(now, member, update));
@@ -186,7 +205,7 @@
 
   private void applyUpdate(long now, Member member, MembershipUpdate update) {
     if (update.state() == MemberState.SUSPECT && member.isSuspectAt(update.incarnation())) {
-      suspicionTimers.confirm(member, update.origin());
+      suspicionTimers.recordSuspicion(member, update.origin());
       return;
     }
     if (!update.overrides(member.state(), member.incarnation())) {
@@ -196,19 +215,22 @@
     dissemination.add(update);
     if (update.state() == MemberState.SUSPECT) {
       counters.countSuspected();
-      suspicionTimers.confirm(member, update.origin());
+      suspicionTimers.recordSuspicion(member, update.origin());
     } else if (update.state() == MemberState.DEAD) {
       counters.countDeclaredDead();
     }
   }
 
-  /** Whoever suspects this router has lost messages to or from it, so its own health counts too. */
-  private void refuteIfWrong(MembershipUpdate update) {
+  /**
+   * Refutes an update that falsely says that this router is not alive. Messages to or from this
+   * router were lost or late, possibly by its own fault, so its local health degrades.
+   */
+  private void refuteIfFalse(MembershipUpdate update) {
     if (self.mustRefute(update)) {
       counters.countRefutation();
       self.refute(update);
       localHealth.degrade();
-      dissemination.add(self.update(MemberState.ALIVE));
+      dissemination.add(self.newUpdate(MemberState.ALIVE));
     }
   }
 }
--- a/router/src/main/java/rushwood/membership/MembershipCounters.java
+++ b/router/src/main/java/rushwood/membership/MembershipCounters.java
@@ -1,8 +1,8 @@
 package rushwood.membership;
 
-/** Counts of one {@link Membership} since its start. */
+/** Counters of one {@link Membership} since its start. */
 public final class MembershipCounters {
-  private long unknownSenders;
+  private long droppedMessages;
   private long suspected;
   private long declaredDead;
   private long refutations;
@@ -11,38 +11,40 @@
 
   MembershipCounters() {}
 
-  /** Messages dropped: from outside the peer list, or with too many updates. */
-  public long unknownSenders() {
-    return unknownSenders;
+  /** Returns the number of messages dropped for an unknown sender or too many updates. */
+  public long droppedMessages() {
+    return droppedMessages;
   }
 
-  /** Changes of another member's state to suspect. */
+  /** Returns the number of suspicions of other members, without confirmations. */
   public long suspected() {
     return suspected;
   }
 
-  /** Changes of another member's state to dead. */
+  /** Returns the number of adopted updates that declare another member dead. */
   public long declaredDead() {
     return declaredDead;
   }
 
-  /** Times that this router was suspected or declared dead and refuted it. */
+  /** Returns the number of times that this router refuted a false update about itself. */
   public long refutations() {
     return refutations;
   }
 
-  /** Probes of members that are held dead, sent to find out whether a partition has healed. */
+  /** Returns the number of probes of dead members, sent to detect that a partition has healed. */
   public long revivalProbes() {
     return revivalProbes;
   }
 
-  /** Probes without an ack, direct or relayed, until the next probe. */
+  /**
+   * Returns the number of probes with no ack, direct or relayed, by the start of the next probe.
+   */
   public long missedProbes() {
     return missedProbes;
   }
 
-  void countUnknownSender() {
-    unknownSenders++;
+  void countDroppedMessage() {
+    droppedMessages++;
   }
 
   void countSuspected() {
--- a/router/src/main/java/rushwood/membership/MembershipSettings.java
+++ b/router/src/main/java/rushwood/membership/MembershipSettings.java
@@ -1,22 +1,26 @@
 package rushwood.membership;
 
 /**
- * The parameters of membership.
+ * The parameters of the membership protocol.
  *
- * @param probePeriodNanos between the starts of two probes
- * @param ackTimeoutNanos until a probe without an ack is tried through other members; below the
- *     period
- * @param indirectProbes how many members are asked to relay such a probe; 0 to 8
- * @param minSuspicionNanos from suspicion to death with {@code maxConfirmations}; one period at
- *     least
- * @param maxSuspicionNanos from suspicion to death without a confirmation
- * @param maxConfirmations how many independent confirmations count; 1 at least
- * @param retransmitMultiplier sends of an update, for each doubling of the member count; 1 to 16
- * @param deadRetentionNanos how long a dead member is still probed now and then; {@code
- *     maxSuspicionNanos} at least
- * @param stableAfterNanos a view that has not changed for so long is stable; one period at least
- * @param maxLocalHealthScore the highest local health score, which plus 1 multiplies timeouts; 0 to
- *     8
+ * @param probePeriodNanos time between the starts of two probes; positive
+ * @param ackTimeoutNanos time after which a probe without an ack is repeated through other members;
+ *     positive and less than {@code probePeriodNanos}
+ * @param indirectProbes number of members that are asked to relay such a probe; 0 to 8
+ * @param minSuspicionNanos time from suspicion to the declaration of death with {@code
+ *     maxConfirmations} confirmations; at least {@code probePeriodNanos}
+ * @param maxSuspicionNanos time from suspicion to the declaration of death without confirmations;
+ *     at least {@code minSuspicionNanos}
+ * @param maxConfirmations number of confirmations at which the suspicion timeout is {@code
+ *     minSuspicionNanos}, and maximum number of members counted as suspecting another; at least 1
+ * @param retransmitMultiplier number of times that an update is sent, per doubling of the member
+ *     count; 1 to 16
+ * @param deadRetentionNanos time during which a dead member is still probed occasionally; at least
+ *     {@code maxSuspicionNanos}
+ * @param stableAfterNanos time without a change of any member's state after which the view counts
+ *     as stable; at least {@code probePeriodNanos}
+ * @param maxLocalHealthScore maximum of the local health score; timeouts are multiplied by the
+ *     score plus 1; 0 to 8
  */
 public record MembershipSettings(
     long probePeriodNanos,
@@ -35,42 +39,43 @@
   private static final int MAX_HEALTH_SCORE = 8;
 
   /**
-   * Checks the bounds.
+   * Validates the parameters.
    *
-   * @throws InvalidSettingException for the first parameter outside its bounds
+   * @throws InvalidSettingException for the first parameter that is out of bounds
    */
   public MembershipSettings {
-    require(probePeriodNanos > 0, "probePeriodNanos", "must be above zero");
+    require(probePeriodNanos > 0, "probePeriodNanos", "must be positive");
     require(
         ackTimeoutNanos > 0 && ackTimeoutNanos < probePeriodNanos,
         "ackTimeoutNanos",
-        "must be above zero and below probePeriodNanos");
+        "must be positive and less than probePeriodNanos");
     requireBetween(0, MAX_INDIRECT_PROBES, indirectProbes, "indirectProbes");
     require(
         minSuspicionNanos >= probePeriodNanos,
         "minSuspicionNanos",
-        "must be probePeriodNanos at least");
+        "must be at least probePeriodNanos");
     require(
         maxSuspicionNanos >= minSuspicionNanos,
         "maxSuspicionNanos",
-        "must be minSuspicionNanos at least");
-    require(maxConfirmations >= 1, "maxConfirmations", "must be 1 at least");
+        "must be at least minSuspicionNanos");
+    require(maxConfirmations >= 1, "maxConfirmations", "must be at least 1");
     requireBetween(1, MAX_RETRANSMIT_MULTIPLIER, retransmitMultiplier, "retransmitMultiplier");
     require(
         deadRetentionNanos >= maxSuspicionNanos,
         "deadRetentionNanos",
-        "must be maxSuspicionNanos at least");
+        "must be at least maxSuspicionNanos");
     require(
         stableAfterNanos >= probePeriodNanos,
         "stableAfterNanos",
-        "must be probePeriodNanos at least");
+        "must be at least probePeriodNanos");
     requireBetween(0, MAX_HEALTH_SCORE, maxLocalHealthScore, "maxLocalHealthScore");
   }
 
   /**
-   * Memberlist's values for a local network (period 1 s, ack 0.5 s, 3 relays, suspicion 4 to 6
-   * periods, 4 sends for each doubling), made four times quicker: routers are restarted within two
-   * seconds, and a view that takes ten to become stable would always be out of date.
+   * Returns the defaults. They follow memberlist's defaults for a local network (probe period 1 s,
+   * ack timeout 0.5 s, 3 indirect probes, suspicion multipliers 4 and 6, retransmit multiplier 4)
+   * with probe times about four times shorter: routers are restarted within 2 s, and a view that
+   * takes 10 s to become stable would always be out of date.
    */
   public static MembershipSettings defaults() {
     return new MembershipSettings(
@@ -87,11 +92,11 @@
   }
 
   private static void requireBetween(int min, int max, int value, String field) {
-    require(value >= min && value <= max, field, "must be " + min + " to " + max);
+    require(value >= min && value <= max, field, "must be between " + min + " and " + max);
   }
 
-  private static void require(boolean holds, String field, String reason) {
-    if (!holds) {
+  private static void require(boolean condition, String field, String reason) {
+    if (!condition) {
       throw new InvalidSettingException(field, reason);
     }
   }
--- a/router/src/main/java/rushwood/membership/MembershipTimers.java
+++ b/router/src/main/java/rushwood/membership/MembershipTimers.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Tasks by the time at which they are due; of equal times, the one scheduled first runs first. */
+/** Runs tasks in the order of their due times; tasks with equal times run in scheduling order. */
 final class MembershipTimers {
   private record Timer(long dueAt, long order, Runnable task) {}
 
@@ -15,14 +15,17 @@
     timers.add(new Timer(dueAt, scheduledCount++, task));
   }
 
-  /** Runs all that is due by {@code now}, also what these tasks schedule by then. */
+  /**
+   * Runs all tasks that are due at or before {@code now}, including those that one of these tasks
+   * schedules.
+   */
   void runDue(long now) {
     while (nextDueAt() <= now) {
       timers.poll().task().run();
     }
   }
 
-  /** {@link Long#MAX_VALUE} if nothing is scheduled. */
+  /** Returns the due time of the next task; {@link Long#MAX_VALUE} if none is scheduled. */
   long nextDueAt() {
     Timer next = timers.peek();
     return next == null ? Long.MAX_VALUE : next.dueAt();
--- a/router/src/main/java/rushwood/membership/Outbox.java
+++ b/router/src/main/java/rushwood/membership/Outbox.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the messages to be sent, each with the updates that it carries. */
+/** Collects outgoing messages and adds the piggybacked updates to them. */
 final class Outbox {
   private final LocalMember self;
   private final UpdateDissemination dissemination;
@@ -15,17 +15,17 @@
     this.dissemination = dissemination;
   }
 
-  /** A sequence number for a ping of this router; no two are equal. */
+  /** Returns a new sequence number for a ping of this router. */
   int nextSequenceNumber() {
     return ++lastSequenceNumber;
   }
 
-  /** Adds a message with the updates that are due to {@code to}. */
+  /** Adds a message that carries the pending updates for {@code to}. */
   void send(MemberId to, PeerMessage.Kind kind, int sequenceNumber, MemberId target) {
     send(to, kind, sequenceNumber, target, dissemination.updatesFor(to));
   }
 
-  /** Adds a message with these updates only. */
+  /** Adds a message that carries only the given updates. */
   void send(
       MemberId to,
       PeerMessage.Kind kind,
@@ -37,7 +37,7 @@
     messages.add(new OutgoingMessage(to, message));
   }
 
-  /** Returns the messages added since the last call. */
+  /** Returns the messages added since the last call, and removes them. */
   List<OutgoingMessage> drain() {
     List<OutgoingMessage> drained = List.copyOf(messages);
     messages.clear();
--- a/router/src/main/java/rushwood/membership/PeerMessage.java
+++ b/router/src/main/java/rushwood/membership/PeerMessage.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One datagram between routers.
+ * A message between routers, sent as one datagram.
  *
- * @param incarnation of the sender
- * @param sequenceNumber an ack has that of the ping that it answers
- * @param target the member that is probed; of an ack, the sender
- * @param updates about any members, carried along
+ * @param incarnation the sender's incarnation
+ * @param sequenceNumber chosen by the sender of a ping or ping request; an ack repeats it
+ * @param target the member to probe; in an ack, the sender
+ * @param updates piggybacked updates about any members
  */
 public record PeerMessage(
     Kind kind,
@@ -17,17 +17,17 @@
     MemberId target,
     List<MembershipUpdate> updates) {
 
-  /** What the receiver is to do. */
+  /** The kind of a message. */
   public enum Kind {
     /** Asks the receiver for an ack. */
     PING,
-    /** Answers a ping. */
+    /** Answers a ping or a ping request. */
     ACK,
-    /** Asks the receiver to ping the target and to pass the ack on. */
+    /** Asks the receiver to ping the target and to relay the target's ack to the sender. */
     PING_REQ
   }
 
-  /** Copies the updates. */
+  /** Makes a defensive copy of the updates. */
   public PeerMessage {
     updates = List.copyOf(updates);
   }
--- a/router/src/main/java/rushwood/membership/ProbeRelay.java
+++ b/router/src/main/java/rushwood/membership/ProbeRelay.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Probes members for others that got no ack from them, and passes the acks on. */
+/** Serves ping requests: probes their targets on behalf of the requesters and relays the acks. */
 final class ProbeRelay {
   private static final int MAX_RELAYED_PROBES = MemberTable.MAX_MEMBERS;
 
@@ -14,7 +14,12 @@
   private final MembershipTimers timers;
   private final Map<Integer, RelayedProbe> relayedProbes = new TreeMap<>();
 
-  /** A probe made for {@code requester}, which numbered it {@code sequenceNumber}. */
+  /**
+   * A probe on behalf of another member.
+   *
+   * @param requester the sender of the ping request
+   * @param sequenceNumber sequence number of the ping request
+   */
   private record RelayedProbe(MemberId requester, int sequenceNumber) {}
 
   ProbeRelay(
@@ -30,7 +35,11 @@
     this.timers = timers;
   }
 
-  /** Pings the target of a ping request; an ack within a period is passed on to the requester. */
+  /**
+   * Pings the target of a ping request. An ack that arrives within one probe period is relayed to
+   * the requester. The request is ignored if its target is not in the peer list or if too many
+   * relayed probes are pending.
+   */
   void relay(long now, MemberId requester, PeerMessage request) {
     MemberId target = request.target();
     if (!members.contains(target) || relayedProbes.size() >= MAX_RELAYED_PROBES) {
@@ -42,8 +51,8 @@
     timers.schedule(now + settings.probePeriodNanos(), () -> relayedProbes.remove(sequenceNumber));
   }
 
-  /** An ack has arrived; passes it on if it is for a relayed probe that has not expired. */
-  void ackReceived(int sequenceNumber) {
+  /** Relays an ack to the requester if it answers a relayed probe that has not expired. */
+  void handleAck(int sequenceNumber) {
     RelayedProbe relayed = relayedProbes.remove(sequenceNumber);
     if (relayed != null) {
       outbox.send(relayed.requester(), PeerMessage.Kind.ACK, relayed.sequenceNumber(), self.id());
--- a/router/src/main/java/rushwood/membership/ProbeTargets.java
+++ b/router/src/main/java/rushwood/membership/ProbeTargets.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** Chooses whom to probe, and who is asked to probe a member that did not answer. */
+/** Chooses the members to probe, and the members that are asked to relay a probe. */
 final class ProbeTargets {
-  /** Of so many probes one goes to a member that was declared dead lately. */
+  /** Every fourth probe goes to a recently dead member, if there is one. */
   private static final int REVIVAL_PROBE_INTERVAL = 4;
 
   private final MemberTable members;
@@ -16,9 +16,13 @@
   private final SplittableRandom random;
   private final List<MemberId> probeOrder = new ArrayList<>();
   private int nextIndex;
-  private int chosenCount;
+  private int callCount;
 
-  /** {@code deadRetentionNanos}: how long a dead member is still probed now and then. */
+  /**
+   * Creates a selector of probe targets.
+   *
+   * @param deadRetentionNanos time during which a dead member is still probed occasionally
+   */
   ProbeTargets(
       MemberTable members,
       long deadRetentionNanos,
@@ -30,23 +34,23 @@
     this.random = random;
   }
 
-  /** The next member to probe; empty if there is none. */
+  /** Returns the next member to probe; empty if there is none. */
   Optional<MemberId> next(long now) {
-    if (++chosenCount % REVIVAL_PROBE_INTERVAL == 0) {
-      List<MemberId> dead = members.recentlyDead(now, deadRetentionNanos);
+    if (++callCount % REVIVAL_PROBE_INTERVAL == 0) {
+      List<MemberId> dead = members.recentlyDeadMembers(now, deadRetentionNanos);
       if (!dead.isEmpty()) {
         counters.countRevivalProbe();
         return Optional.of(dead.get(random.nextInt(dead.size())));
       }
     }
-    return nextInOrder();
+    return nextActiveMember();
   }
 
-  /** Round-robin over a random order that is drawn anew each round. */
-  private Optional<MemberId> nextInOrder() {
-    for (int tries = 0; tries <= probeOrder.size(); tries++) {
+  /** Returns the next active member, round-robin in a random order that changes every round. */
+  private Optional<MemberId> nextActiveMember() {
+    for (int checked = 0; checked <= probeOrder.size(); checked++) {
       if (nextIndex >= probeOrder.size()) {
-        shuffle();
+        startNewRound();
         if (probeOrder.isEmpty()) {
           return Optional.empty();
         }
@@ -59,9 +63,9 @@
     return Optional.empty();
   }
 
-  private void shuffle() {
+  private void startNewRound() {
     probeOrder.clear();
-    probeOrder.addAll(members.active());
+    probeOrder.addAll(members.activeMembers());
     for (int i = probeOrder.size() - 1; i > 0; i--) {
       int j = random.nextInt(i + 1);
       probeOrder.set(i, probeOrder.set(j, probeOrder.get(i)));
@@ -69,9 +73,9 @@
     nextIndex = 0;
   }
 
-  /** Up to {@code count} random active members other than {@code target}. */
+  /** Returns up to {@code count} random active members other than {@code target}. */
   List<MemberId> relaysFor(MemberId target, int count) {
-    List<MemberId> candidates = new ArrayList<>(members.active());
+    List<MemberId> candidates = new ArrayList<>(members.activeMembers());
     candidates.remove(target);
     List<MemberId> relays = new ArrayList<>(count);
     while (relays.size() < count && !candidates.isEmpty()) {
--- a/router/src/main/java/rushwood/membership/Prober.java
+++ b/router/src/main/java/rushwood/membership/Prober.java
@@ -4,16 +4,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * SWIM's failure detector: pings one member a period and asks others to ping it if no ack comes in
- * time. A probe without an ack by the start of the next is missed. Period and time are those of the
- * settings, times the factor of this router's local health.
+ * SWIM's failure detector. It pings one member in each probe period, and asks other members to ping
+ * the same target if no ack arrives within the ack timeout. A probe with no ack by the start of the
+ * next one counts as missed. The local health factor multiplies the configured period and timeout.
  */
 final class Prober {
-  /** Is told how the probes end. */
+  /** Receives the results of the probes. */
   interface Listener {
+    /** Called when a probe got no ack, direct or relayed, by the start of the next probe. */
     void probeMissed(long now, MemberId target);
 
-    /** The target itself has answered, not through a relay. */
+    /** Called when the target itself answers, before any relayed ack. */
     void probeAnswered();
   }
 
@@ -23,7 +24,7 @@
   private final Outbox outbox;
   private final MembershipTimers timers;
   private final Listener listener;
-  private @Nullable Probe currentProbe; // none before the first, and while there is nobody to probe
+  private @Nullable Probe currentProbe; // null if there is no member to probe, and before start
   private boolean stopped;
 
   private static final class Probe {
@@ -52,12 +53,14 @@
     this.listener = listener;
   }
 
-  /** Schedules the first probe; every probe schedules the next until {@link #stop}. */
+  /**
+   * Schedules the first probe for {@code now}; each probe schedules the next until {@link #stop}.
+   */
   void start(long now) {
     timers.schedule(now, () -> probeNext(now));
   }
 
-  /** Begins no further probe; a missed one is not reported any more. */
+  /** Stops probing. A probe that is pending is not reported as missed. */
   void stop() {
     stopped = true;
   }
@@ -79,8 +82,8 @@
       timers.schedule(
           now + settings.ackTimeoutNanos() * timeoutFactor, () -> sendIndirectProbes(probe));
     }
-    long nextAt = now + settings.probePeriodNanos() * timeoutFactor;
-    timers.schedule(nextAt, () -> probeNext(nextAt));
+    long nextProbeAt = now + settings.probePeriodNanos() * timeoutFactor;
+    timers.schedule(nextProbeAt, () -> probeNext(nextProbeAt));
   }
 
   private void sendIndirectProbes(Probe probe) {
@@ -93,11 +96,11 @@
   }
 
   /**
-   * An ack has arrived.
+   * Handles an ack.
    *
-   * @return whether it is for this router's own probe, answered directly or through a relay
+   * @return whether the ack answers the current probe, directly or through a relay
    */
-  boolean ackReceived(MemberId from, int sequenceNumber) {
+  boolean handleAck(MemberId from, int sequenceNumber) {
     if (currentProbe == null || sequenceNumber != currentProbe.sequenceNumber) {
       return false;
     }
--- a/router/src/main/java/rushwood/membership/SuspicionTimers.java
+++ b/router/src/main/java/rushwood/membership/SuspicionTimers.java
@@ -1,8 +1,8 @@
 package rushwood.membership;
 
 /**
- * Declares a suspect member dead after a timeout. As in Lifeguard the timeout starts long and
- * shrinks with every member that suspects the same one independently.
+ * Declares a suspect member dead after a timeout. As in Lifeguard, the timeout starts long and
+ * becomes shorter with each other member that suspects the same member independently.
  */
 final class SuspicionTimers {
   private final LocalMember self;
@@ -11,7 +11,9 @@
   private final MembershipTimers timers;
   private final UpdateHandler updateHandler;
 
-  /** {@code updateHandler} gets the update that declares a member dead. */
+  /**
+   * Creates timers that pass an update to {@code updateHandler} when they declare a member dead.
+   */
   SuspicionTimers(
       LocalMember self,
       MembershipSettings settings,
@@ -26,14 +28,15 @@
   }
 
   /**
-   * Counts {@code origin} among those who suspect the member and sets a timer for the timeout as it
-   * is now. Earlier timers of the same suspicion stay; the first to run ends it.
+   * Adds {@code origin} to the members that suspect {@code suspect} and sets a timer for the
+   * resulting timeout. Earlier timers of the same suspicion are kept; the first that expires
+   * declares the member dead.
    */
-  void confirm(Member suspect, MemberId origin) {
+  void recordSuspicion(Member suspect, MemberId origin) {
     suspect.addSuspecter(origin, settings.maxConfirmations());
     long suspectedAt = suspect.stateSince();
     long incarnation = suspect.incarnation();
-    long timeoutAt = suspectedAt + timeout(suspect.confirmations());
+    long timeoutAt = suspectedAt + timeoutNanos(suspect.confirmations());
     timers.schedule(timeoutAt, () -> expire(timeoutAt, suspect, incarnation, suspectedAt));
   }
 
@@ -45,17 +48,18 @@
   }
 
   /**
-   * Lifeguard's formula: {@code max - (max - min) * log(c + 1) / log(k + 1)} for c confirmations of
-   * k, times the factor of this router's local health.
+   * Returns the suspicion timeout by Lifeguard's formula: {@code max - (max - min) * log(c + 1) /
+   * log(k + 1)} for c confirmations and k = {@code maxConfirmations}, multiplied by the local
+   * health factor.
    *
-   * @return nanoseconds from the first suspicion
+   * @return nanoseconds from the time at which the member became suspect
    */
-  long timeout(int confirmations) {
-    double share =
+  long timeoutNanos(int confirmations) {
+    double reduction =
         Math.log(Math.max(0, confirmations) + 1.0) / Math.log(settings.maxConfirmations() + 1.0);
-    long span = settings.maxSuspicionNanos() - settings.minSuspicionNanos();
-    double shrunk = settings.maxSuspicionNanos() - span * Math.min(1.0, share);
-    long bounded = (long) Math.max(settings.minSuspicionNanos(), shrunk);
+    long range = settings.maxSuspicionNanos() - settings.minSuspicionNanos();
+    double reduced = settings.maxSuspicionNanos() - range * Math.min(1.0, reduction);
+    long bounded = (long) Math.max(settings.minSuspicionNanos(), reduced);
     return bounded * localHealth.timeoutFactor();
   }
 }
--- a/router/src/main/java/rushwood/membership/UpdateDissemination.java
+++ b/router/src/main/java/rushwood/membership/UpdateDissemination.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * The updates that this router passes on, carried by the messages that it sends anyway (SWIM's
- * piggybacking). Of one member only the latest update is passed on, so many times that it reaches
- * all members with high probability: a multiple of the logarithm of their number.
+ * Disseminates updates by piggybacking them on the messages of the failure detector, as in SWIM.
+ * Only the latest update about each member is sent. The number of times it is sent is proportional
+ * to the logarithm of the member count, so that it reaches all members with high probability.
  */
 final class UpdateDissemination {
   private final LocalMember self;
   private final MemberTable members;
   private final int retransmitMultiplier;
-  private final Deque<PendingUpdate> pendingUpdates = new ArrayDeque<>(); // the newest first
+  private final Deque<PendingUpdate> pendingUpdates = new ArrayDeque<>(); // newest first
 
   private static final class PendingUpdate {
     final MembershipUpdate update;
@@ -25,41 +25,50 @@
       this.sendsLeft = sendsLeft;
     }
 
-    /** Not for a member held dead: {@link #updatesFor} builds the update for that member itself. */
-    boolean isFor(MemberId recipient) {
+    /**
+     * Returns false for an update that declares the recipient itself dead, because {@link
+     * #updatesFor} creates that update separately.
+     */
+    boolean shouldSendTo(MemberId recipient) {
       return !update.member().equals(recipient) || update.state() != MemberState.DEAD;
     }
   }
 
-  /** {@code retransmitMultiplier} sends of each update for every doubling of the member count. */
+  /**
+   * Creates a queue without updates.
+   *
+   * @param retransmitMultiplier number of times that an update is sent, per doubling of the member
+   *     count
+   */
   UpdateDissemination(LocalMember self, MemberTable members, int retransmitMultiplier) {
     this.self = self;
     this.members = members;
     this.retransmitMultiplier = retransmitMultiplier;
   }
 
-  /** Passes an update on from now, in place of an earlier one about the same member. */
+  /** Adds an update to disseminate, replacing an earlier one about the same member. */
   void add(MembershipUpdate update) {
     pendingUpdates.removeIf(pending -> pending.update.member().equals(update.member()));
-    int bitsOfMemberCount = Long.SIZE - Long.numberOfLeadingZeros(members.size() + 1L);
-    pendingUpdates.addFirst(new PendingUpdate(update, retransmitMultiplier * bitsOfMemberCount));
+    int memberCountBits = Long.SIZE - Long.numberOfLeadingZeros(members.size() + 1L);
+    pendingUpdates.addFirst(new PendingUpdate(update, retransmitMultiplier * memberCountBits));
   }
 
   /**
-   * The updates for a message to {@code recipient}, the newest first, and counts them as sent. A
-   * recipient that is held dead is told so first, that it can refute it.
+   * Returns the updates for a message to {@code recipient}, newest first, and counts them as sent.
+   * For a recipient that is considered dead, the first update says so, which lets the recipient
+   * refute it.
    */
   List<MembershipUpdate> updatesFor(MemberId recipient) {
     List<MembershipUpdate> updates = new ArrayList<>();
     members
         .find(recipient)
         .filter(member -> member.state() == MemberState.DEAD)
-        .ifPresent(member -> updates.add(member.updateTo(MemberState.DEAD, self.id())));
+        .ifPresent(member -> updates.add(member.newUpdate(MemberState.DEAD, self.id())));
     for (PendingUpdate pending : pendingUpdates) {
       if (updates.size() >= DatagramCodec.MAX_UPDATES) {
         break;
       }
-      if (pending.isFor(recipient)) {
+      if (pending.shouldSendTo(recipient)) {
         updates.add(pending.update);
         pending.sendsLeft--;
       }
--- a/router/src/main/java/rushwood/membership/UpdateHandler.java
+++ b/router/src/main/java/rushwood/membership/UpdateHandler.java
@@ -1,6 +1,6 @@
 package rushwood.membership;
 
-/** Takes what this router itself has found out about a member. */
+/** Receives the updates that this router itself creates about other members. */
 @FunctionalInterface
 interface UpdateHandler {
   void apply(long now, MembershipUpdate update);
--- a/router/src/test/java/rushwood/membership/DatagramCodecTest.java
+++ b/router/src/test/java/rushwood/membership/DatagramCodecTest.java
@@ -10,23 +10,25 @@
 
 class DatagramCodecTest {
   @Test
-  void truncatedOrFlippedDatagramsAreRejected() {
+  void truncatedAndCorruptedDatagramsAreRejected() {
     SimulatedMembers cluster = new SimulatedMembers(12, 10, MembershipSettings.defaults());
     cluster.runFor(2 * SimulatedMembers.SECOND);
-    int checked = 0;
-    for (byte[] good : cluster.sampleDatagrams) {
-      assertTrue(DatagramCodec.decode(good, good.length).isPresent());
-      for (int length = 0; length < good.length; length++) {
-        assertEquals(Optional.empty(), DatagramCodec.decode(good, length), "cut at " + length);
+    int flippedBits = 0;
+    for (byte[] valid : cluster.sampleDatagrams) {
+      assertTrue(DatagramCodec.decode(valid, valid.length).isPresent());
+      for (int length = 0; length < valid.length; length++) {
+        assertEquals(
+            Optional.empty(), DatagramCodec.decode(valid, length), "truncated to " + length);
       }
-      for (int bit = 0; bit < good.length * Byte.SIZE; bit++) {
-        byte[] bad = good.clone();
-        bad[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
-        assertEquals(Optional.empty(), DatagramCodec.decode(bad, bad.length), "bit " + bit);
-        checked++;
+      for (int bit = 0; bit < valid.length * Byte.SIZE; bit++) {
+        byte[] corrupted = valid.clone();
+        corrupted[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
+        assertEquals(
+            Optional.empty(), DatagramCodec.decode(corrupted, corrupted.length), "bit " + bit);
+        flippedBits++;
       }
     }
-    assertTrue(checked > 10_000, "bits flipped: " + checked);
+    assertTrue(flippedBits > 10_000, "flipped bits: " + flippedBits);
   }
 
   @Test
--- a/router/src/test/java/rushwood/membership/GossipReportsTest.java
+++ b/router/src/test/java/rushwood/membership/GossipReportsTest.java
@@ -14,17 +14,18 @@
   private static final MemberId C = new MemberId(0x7f000003, 1);
 
   @Test
-  void oneReporterIsNoQuorum() {
+  void repeatedReportsOfOneReporterAreNoQuorum() {
     GossipReports reports = new GossipReports(5 * SECOND, 2);
     for (int i = 0; i < 10; i++) {
       reports.add(i * SECOND / 10, A, "s-1", Observation.UNREACHABLE, 0);
     }
-    assertEquals(1, reports.summarize(SECOND, "s-1", Observation.UNREACHABLE).reporters());
+    assertEquals(1, reports.summarize(SECOND, "s-1", Observation.UNREACHABLE).reporterCount());
     assertFalse(reports.summarize(SECOND, "s-1", Observation.UNREACHABLE).hasQuorum());
     reports.add(SECOND, B, "s-1", Observation.UNREACHABLE, SECOND / 2);
     GossipReports.Summary summary = reports.summarize(SECOND, "s-1", Observation.UNREACHABLE);
     assertTrue(summary.hasQuorum());
-    assertEquals(SECOND / 10, summary.youngestAgeNanos(), "age of the youngest report");
+    assertEquals(
+        SECOND / 10, summary.latestObservationAgeNanos(), "age of the most recent observation");
   }
 
   @Test
@@ -37,8 +38,8 @@
     assertTrue(reports.summarize(SECOND / 2, "s-2", Observation.COLD).hasQuorum());
     assertEquals(
         0,
-        reports.summarize(SECOND, "s-2", Observation.COLD).reporters(),
-        "four seconds old when added, five now");
+        reports.summarize(SECOND, "s-2", Observation.COLD).reporterCount(),
+        "4 s old when added, 5 s now");
     assertEquals(0, reports.endpointCount());
   }
 
@@ -64,6 +65,6 @@
     }
     assertEquals(
         GossipReports.MAX_REPORTS_PER_ENDPOINT,
-        reports.summarize(0, "s-0", Observation.UNREACHABLE).reporters());
+        reports.summarize(0, "s-0", Observation.UNREACHABLE).reporterCount());
   }
 }
--- a/router/src/test/java/rushwood/membership/MembershipTest.java
+++ b/router/src/test/java/rushwood/membership/MembershipTest.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-/** The views of simulated members: detection, refutation, partitions, restarts and leaving. */
+/** Tests crash detection, refutation, partitions, restarts and leaving with simulated members. */
 class MembershipTest {
   private static final long MILLISECOND = SimulatedMembers.MILLISECOND;
   private static final long SECOND = SimulatedMembers.SECOND;
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void crashIsDetectedEverywhereWithinSuspicionTimeout() {
+  void crashIsDetectedByAllWithinSuspicionTimeout() {
     SimulatedMembers cluster = new SimulatedMembers(10, 2, SETTINGS);
     cluster.runFor(5 * SECOND);
     cluster.crash(3);
@@ -34,13 +34,13 @@
         cluster.timeUntil(() -> cluster.allSee(3, MemberState.DEAD), 50 * MILLISECOND, 20 * SECOND);
     assertTrue(
         elapsed > 0 && elapsed < SETTINGS.maxSuspicionNanos() + 12 * SETTINGS.probePeriodNanos(),
-        "dead everywhere after " + elapsed);
+        "considered dead by all after " + elapsed + " ns");
   }
 
   @Test
-  void crashJoinAndStallTogether() {
+  void simultaneousCrashJoinAndStallAreDetected() {
     SimulatedMembers cluster = new SimulatedMembers(8, 3, SETTINGS);
-    cluster.crash(7); // not started yet
+    cluster.crash(7); // down until started below
     cluster.runFor(6 * SECOND);
     cluster.crash(2);
     cluster.stall(5, 3 * SECOND);
@@ -53,25 +53,25 @@
   }
 
   @Test
-  void partitionStabilizesThenHeals() {
+  void viewsStabilizeDuringPartitionAndAfterHeal() {
     SimulatedMembers cluster = new SimulatedMembers(10, 4, SETTINGS);
     cluster.runFor(5 * SECOND);
     cluster.setPartitioned(4, true);
     cluster.runFor(6 * SECOND);
     assertTrue(
         cluster.allSee(0, MemberState.DEAD) || cluster.stateSeenBy(9, 0) != MemberState.ALIVE);
-    assertEquals(4, cluster.members[0].size(), "view of the small side");
-    assertEquals(6, cluster.members[9].size(), "view of the large side");
+    assertEquals(4, cluster.members[0].size(), "view of the smaller side");
+    assertEquals(6, cluster.members[9].size(), "view of the larger side");
     cluster.setPartitioned(4, false);
     long elapsed = cluster.timeUntil(() -> cluster.deadViews() == 0, 50 * MILLISECOND, 30 * SECOND);
-    assertTrue(elapsed >= 0, "healed, no member dead in anyone's view");
+    assertTrue(elapsed >= 0, "after the heal no member is considered dead");
     long version = cluster.members[0].version();
     cluster.runFor(10 * SECOND);
-    assertEquals(version, cluster.members[0].version(), "no flapping after the heal");
+    assertEquals(version, cluster.members[0].version(), "no state change after the heal");
   }
 
   @Test
-  void lossOfOneFifthDeclaresNobodyDead() {
+  void datagramLossOf20PercentDeclaresNobodyDead() {
     SimulatedMembers cluster = new SimulatedMembers(20, 5, SETTINGS);
     cluster.lossRate = 0.2;
     cluster.runFor(60 * SECOND);
@@ -80,19 +80,20 @@
     for (Membership node : cluster.members) {
       missed += node.counters().missedProbes();
     }
-    // 20 members probe 4 times a second for a minute: 4,800 probes. One is missed when its ping or
-    // ack is lost (0.36) and each of 3 relayed rounds of 4 datagrams is too (0.59 each): 0.074 of
-    // the probes. Each missed probe only suspects, and refutation ends that.
+    // 20 members send 4 probes per second for 60 s: 4,800 probes. A probe is missed if its ping or
+    // ack is lost (probability 0.36) and each of the 3 indirect probes loses at least one of its 4
+    // datagrams (0.59 each): 0.074 of the probes. A missed probe only raises a suspicion, which the
+    // member refutes.
     assertTrue(missed < 4_800 * 74 / 1_000, "missed probes " + missed);
   }
 
   @Test
-  void restartSupersedesEarlierIncarnation() {
+  void restartOverridesEarlierIncarnation() {
     SimulatedMembers cluster = new SimulatedMembers(5, 6, SETTINGS);
     cluster.runFor(3 * SECOND);
     MemberId restarted = cluster.ids.get(4);
     long before = cluster.members[1].incarnationOf(restarted).orElseThrow();
-    PeerMessage late =
+    PeerMessage staleMessage =
         new PeerMessage(
             PeerMessage.Kind.PING,
             before,
@@ -104,14 +105,15 @@
     cluster.start(4);
     cluster.runFor(2 * SECOND);
     long after = cluster.members[1].incarnationOf(restarted).orElseThrow();
-    assertTrue(after > before, "new incarnation " + after + " over " + before);
-    byte[] encoded = DatagramCodec.encode(late);
-    cluster.members[1].received(
+    assertTrue(
+        after > before, "incarnation " + after + " after the restart, " + before + " before");
+    byte[] encoded = DatagramCodec.encode(staleMessage);
+    cluster.members[1].handleMessage(
         cluster.now, restarted, DatagramCodec.decode(encoded, encoded.length).orElseThrow());
     assertEquals(
         Optional.of(MemberState.ALIVE),
         cluster.members[1].stateOf(restarted),
-        "a late message of the earlier process is ignored");
+        "a stale message of the earlier process is ignored");
     assertEquals(
         OptionalLong.empty(),
         cluster.members[1].incarnationOf(new MemberId(0x7f000009, 1)),
@@ -119,13 +121,13 @@
   }
 
   @Test
-  void unknownSenderIsCountedAndDropped() {
+  void messageOfUnknownSenderIsDroppedAndCounted() {
     SimulatedMembers cluster = new SimulatedMembers(3, 7, SETTINGS);
-    MemberId stranger = new MemberId(0x0a000001, 9);
+    MemberId unknownSender = new MemberId(0x0a000001, 9);
     List<OutgoingMessage> outgoing =
-        cluster.members[0].received(
+        cluster.members[0].handleMessage(
             cluster.now,
-            stranger,
+            unknownSender,
             new PeerMessage(
                 PeerMessage.Kind.PING,
                 5,
@@ -133,14 +135,14 @@
                 cluster.ids.get(0),
                 List.of(
                     new MembershipUpdate(
-                        cluster.ids.get(1), MemberState.DEAD, Long.MAX_VALUE, stranger))));
+                        cluster.ids.get(1), MemberState.DEAD, Long.MAX_VALUE, unknownSender))));
     assertTrue(outgoing.isEmpty());
-    assertEquals(1, cluster.members[0].counters().unknownSenders());
+    assertEquals(1, cluster.members[0].counters().droppedMessages());
     assertEquals(MemberState.ALIVE, cluster.stateSeenBy(0, 1));
   }
 
   @Test
-  void leavingMemberIsLeftEverywhere() {
+  void leavingMemberIsSeenAsLeftByAll() {
     SimulatedMembers cluster = new SimulatedMembers(6, 8, SETTINGS);
     cluster.runFor(3 * SECOND);
     cluster.send(2, cluster.members[2].leave());
--- a/router/src/test/java/rushwood/membership/SimulatedMembers.java
+++ b/router/src/test/java/rushwood/membership/SimulatedMembers.java
@@ -8,16 +8,18 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Members on a virtual clock that send each other encoded datagrams, with loss, delay, partitions,
- * stalls (as by SIGSTOP: datagrams wait in the socket), crashes and restarts. The same seed gives
- * the same run.
+ * Simulates members that send each other encoded datagrams on a virtual clock. Supports datagram
+ * loss and delay, partitions, crashes, restarts, and stalls, during which a member's datagrams wait
+ * as they would in the socket of a process stopped by SIGSTOP. A run is determined by its seed.
  */
 final class SimulatedMembers {
   static final long MILLISECOND = 1_000_000L;
   static final long SECOND = 1_000 * MILLISECOND;
-  static final long START = 1_796_000_000L * SECOND; // Unix time in December 2026
 
-  private static final int MAX_SAMPLES = 64;
+  /** Start of the virtual clock: Unix time of a moment in November 2026. */
+  static final long START = 1_796_000_000L * SECOND;
+
+  private static final int MAX_SAMPLE_DATAGRAMS = 64;
 
   private record Datagram(long arrivesAt, long order, int from, int to, byte[] bytes) {}
 
@@ -31,13 +33,13 @@
       new PriorityQueue<>(
           Comparator.comparingLong(Datagram::arrivesAt).thenComparingLong(Datagram::order));
   private final SplittableRandom networkRandom;
-  private long order;
+  private long nextOrder;
   long now = START;
   double lossRate;
   long sentDatagrams;
   long sentBytes;
 
-  /** The first datagrams sent. */
+  /** The first datagrams sent, at most {@link #MAX_SAMPLE_DATAGRAMS}. */
   final List<byte[]> sampleDatagrams = new ArrayList<>();
 
   SimulatedMembers(int size, long seed, MembershipSettings settings) {
@@ -65,34 +67,35 @@
     crashed[i] = true;
   }
 
-  void stall(int i, long span) {
-    stalledUntil[i] = now + span;
+  /** Pauses a member for {@code durationNanos}; its datagrams and timers wait. */
+  void stall(int i, long durationNanos) {
+    stalledUntil[i] = now + durationNanos;
   }
 
-  /** Cuts or restores the links between the members below {@code edge} and the others. */
-  void setPartitioned(int edge, boolean partitioned) {
+  /** Cuts or restores the links between the members below {@code firstOfOtherSide} and the rest. */
+  void setPartitioned(int firstOfOtherSide, boolean partitioned) {
     for (int a = 0; a < members.length; a++) {
       for (int b = 0; b < members.length; b++) {
-        linkCut[a][b] = partitioned && (a < edge) != (b < edge);
+        linkCut[a][b] = partitioned && (a < firstOfOtherSide) != (b < firstOfOtherSide);
       }
     }
   }
 
-  /** Delivers datagrams and runs timers in the order of their times, for {@code span} ns. */
-  void runFor(long span) {
-    long endAt = now + span;
+  /** Delivers datagrams and runs timers in time order for {@code durationNanos}. */
+  void runFor(long durationNanos) {
+    long endAt = now + durationNanos;
     while (true) {
-      long next = endAt;
+      long nextAt = endAt;
       int nextMember = -1;
       for (int i = 0; i < members.length; i++) {
-        long due = Math.max(members[i].nextTickAt(), stalledUntil[i]);
-        if (!crashed[i] && due < next) {
-          next = due;
+        long tickAt = Math.max(members[i].nextTickAt(), stalledUntil[i]);
+        if (!crashed[i] && tickAt < nextAt) {
+          nextAt = tickAt;
           nextMember = i;
         }
       }
       Datagram datagram = inFlight.peek();
-      if (datagram != null && datagram.arrivesAt() <= next) {
+      if (datagram != null && datagram.arrivesAt() <= nextAt) {
         inFlight.poll();
         now = Math.max(now, datagram.arrivesAt());
         deliver(datagram);
@@ -102,7 +105,7 @@
         now = endAt;
         return;
       }
-      now = Math.max(now, next);
+      now = Math.max(now, nextAt);
       send(nextMember, members[nextMember].tick(now));
     }
   }
@@ -113,25 +116,26 @@
       return;
     }
     if (stalledUntil[to] > now) {
-      inFlight.add(new Datagram(stalledUntil[to], order++, datagram.from(), to, datagram.bytes()));
+      inFlight.add(
+          new Datagram(stalledUntil[to], nextOrder++, datagram.from(), to, datagram.bytes()));
       return;
     }
     PeerMessage message =
         DatagramCodec.decode(datagram.bytes(), datagram.bytes().length)
             .orElseThrow(() -> new AssertionError("a sent datagram cannot be decoded"));
-    send(to, members[to].received(now, ids.get(datagram.from()), message));
+    send(to, members[to].handleMessage(now, ids.get(datagram.from()), message));
   }
 
   void send(int from, List<OutgoingMessage> messages) {
     for (OutgoingMessage outgoing : messages) {
       byte[] encoded = DatagramCodec.encode(outgoing.message());
       if (encoded.length > DatagramCodec.MAX_BYTES) {
-        throw new AssertionError(encoded.length + " bytes in one datagram");
+        throw new AssertionError("datagram of " + encoded.length + " bytes");
       }
       sentDatagrams++;
       sentBytes += encoded.length;
       int to = ids.indexOf(outgoing.to());
-      if (sampleDatagrams.size() < MAX_SAMPLES) {
+      if (sampleDatagrams.size() < MAX_SAMPLE_DATAGRAMS) {
         sampleDatagrams.add(encoded);
       }
       if (to < 0 || linkCut[from][to] || networkRandom.nextDouble() < lossRate) {
@@ -140,19 +144,19 @@
       inFlight.add(
           new Datagram(
               now + MILLISECOND / 2 + networkRandom.nextLong(2 * MILLISECOND),
-              order++,
+              nextOrder++,
               from,
               to,
               encoded));
     }
   }
 
-  /** The state of a member in the view of another. */
+  /** Returns the state of {@code member} in the view of {@code viewer}. */
   MemberState stateSeenBy(int viewer, int member) {
     return members[viewer].stateOf(ids.get(member)).orElseThrow();
   }
 
-  /** Whether every member that is up holds {@code member} in {@code state}. */
+  /** Returns whether {@code member} has {@code state} in the views of all other running members. */
   boolean allSee(int member, MemberState state) {
     for (int i = 0; i < members.length; i++) {
       if (i != member && !crashed[i] && stateSeenBy(i, member) != state) {
@@ -163,21 +167,22 @@
   }
 
   /**
-   * The first time, stepping by {@code step}, at which the condition holds; -1 if not within {@code
-   * span}.
+   * Runs until a condition is true, checking it every {@code stepNanos}.
+   *
+   * @return the elapsed nanoseconds; -1 if the condition is not true within {@code timeoutNanos}
    */
-  long timeUntil(BooleanSupplier condition, long step, long span) {
-    long from = now;
-    while (now - from <= span) {
+  long timeUntil(BooleanSupplier condition, long stepNanos, long timeoutNanos) {
+    long startedAt = now;
+    while (now - startedAt <= timeoutNanos) {
       if (condition.getAsBoolean()) {
-        return now - from;
+        return now - startedAt;
       }
-      runFor(step);
+      runFor(stepNanos);
     }
     return -1;
   }
 
-  /** Pairs of a member that is up and another that it holds dead. */
+  /** Returns the number of pairs of a running member and another that it considers dead. */
   long deadViews() {
     long count = 0;
     for (int i = 0; i < members.length; i++) {
--- a/router/src/test/java/rushwood/membership/SuspicionTimersTest.java
+++ b/router/src/test/java/rushwood/membership/SuspicionTimersTest.java
@@ -9,7 +9,7 @@
   private static final MembershipSettings SETTINGS = MembershipSettings.defaults();
 
   @Test
-  void suspicionShrinksWithConfirmations() {
+  void timeoutShrinksWithConfirmations() {
     SuspicionTimers timers =
         new SuspicionTimers(
             new LocalMember(new MemberId(0x7f000001, 7000), SimulatedMembers.START),
@@ -17,10 +17,10 @@
             new LocalHealth(SETTINGS.maxLocalHealthScore()),
             new MembershipTimers(),
             (now, update) -> {});
-    assertEquals(SETTINGS.maxSuspicionNanos(), timers.timeout(0));
-    assertEquals(SETTINGS.minSuspicionNanos(), timers.timeout(SETTINGS.maxConfirmations()));
+    assertEquals(SETTINGS.maxSuspicionNanos(), timers.timeoutNanos(0));
+    assertEquals(SETTINGS.minSuspicionNanos(), timers.timeoutNanos(SETTINGS.maxConfirmations()));
     assertTrue(
-        timers.timeout(1) < timers.timeout(0)
-            && timers.timeout(1) > timers.timeout(SETTINGS.maxConfirmations()));
+        timers.timeoutNanos(1) < timers.timeoutNanos(0)
+            && timers.timeoutNanos(1) > timers.timeoutNanos(SETTINGS.maxConfirmations()));
   }
 }
