--- a/router/src/main/java/rushwood/membership/SuspicionTimers.java
+++ b/router/src/main/java/rushwood/membership/SuspicionTimers.java
@@ -49,8 +49,8 @@
 
   /**
    * Returns the suspicion timeout by Lifeguard's formula: {@code max - (max - min) * log(c + 1) /
-   * log(k + 1)} for c confirmations and k = {@code maxConfirmations}, multiplied by the local
-   * health factor.
+   * log(k + 1)}, multiplied by the local health factor, where c is {@code confirmations} and k is
+   * {@link MembershipSettings#maxConfirmations}.
    *
    * @return nanoseconds from the time at which the member became suspect
    */
