--- a/testbed/src/main/java/rushwood/testbed/load/Experiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/Experiment.java
@@ -86,7 +86,7 @@
   public HostModel newHostModel(int hostIndex) {
     HostSpec host = hosts.get(hostIndex);
     HostModel model = new HostModel(host.parameters(), host.primary(), seed * 31 + hostIndex);
-    model.crashOnOverload(host.crashesOnOverload());
+    model.setCrashOnOverload(host.crashesOnOverload());
     return model;
   }
 
--- a/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
@@ -73,7 +73,7 @@
     HostModel model = new HostModel(parameters, id.equals(PRIMARY), seed);
     StandinHost host = new StandinHost(model, loop, System::nanoTime, statement -> {});
     host.listen();
-    host.onArrival(statement -> recordRequest(id, statement));
+    host.setArrivalListener(statement -> recordRequest(id, statement));
     hosts.put(id, host);
   }
 
--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -221,7 +221,7 @@
     }
 
     private void handleRow(ProtocolMessage row) {
-      if (!row.text().endsWith(key())) {
+      if (!row.body().endsWith(key())) {
         counts.surplusAnswer();
       }
       endTry(TryOutcome.SUCCESS);
--- a/testbed/src/main/java/rushwood/testbed/model/HostModel.java
+++ b/testbed/src/main/java/rushwood/testbed/model/HostModel.java
@@ -86,7 +86,7 @@
   }
 
   /** Sets whether it crashes when it is overloaded while it warms up; else that is only noted. */
-  public void crashOnOverload(boolean crash) {
+  public void setCrashOnOverload(boolean crash) {
     crashOnOverload = crash;
   }
 
--- a/testbed/src/main/java/rushwood/testbed/standin/ProtocolMessage.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/ProtocolMessage.java
@@ -6,9 +6,9 @@
  * A message of PostgreSQL's protocol 3.
  *
  * @param type its type byte, {@link #STARTUP} for the first message of a client, which has none
- * @param text its body, each byte a character
+ * @param body its body, each byte a character
  */
-public record ProtocolMessage(char type, String text) {
+public record ProtocolMessage(char type, String body) {
   /** The type given to the startup message. */
   public static final char STARTUP = 0;
 
@@ -28,10 +28,10 @@
 
   /** A field of an error response. */
   public Optional<String> errorField(char name) {
-    for (int at = 0; at < text.length() && text.charAt(at) != 0; ) {
-      int end = text.indexOf('\0', at);
-      if (text.charAt(at) == name) {
-        return Optional.of(text.substring(at + 1, end));
+    for (int at = 0; at < body.length() && body.charAt(at) != 0; ) {
+      int end = body.indexOf('\0', at);
+      if (body.charAt(at) == name) {
+        return Optional.of(body.substring(at + 1, end));
       }
       at = end + 1;
     }
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
@@ -63,7 +63,7 @@
   }
 
   /** Sets who is told of each statement as it arrives, whatever becomes of it. */
-  public void onArrival(Consumer<Statement> listener) {
+  public void setArrivalListener(Consumer<Statement> listener) {
     arrivalListener = listener;
   }
 
@@ -118,7 +118,7 @@
     }
 
     private void handleQuery(ChannelHandlerContext context, ProtocolMessage message, ByteBuf out) {
-      String text = message.text().substring(0, message.text().length() - 1);
+      String text = message.body().substring(0, message.body().length() - 1);
       if (text.startsWith("SHOW")) {
         writeLoadReport(out);
       } else {
--- a/testbed/src/test/java/rushwood/testbed/model/HostModelTest.java
+++ b/testbed/src/test/java/rushwood/testbed/model/HostModelTest.java
@@ -77,7 +77,7 @@
   void coldHostCrashesOfOverloadWhereItIsToldTo() {
     for (boolean crashes : new boolean[] {false, true}) {
       HostModel host = new HostModel(PARAMETERS, true, 3);
-      host.crashOnOverload(crashes);
+      host.setCrashOnOverload(crashes);
       host.restart(0);
       for (int i = 0; i < 8; i++) {
         host.offer(0, RequestKind.WRITE);
