--- a/testbed/src/main/java/rushwood/testbed/model/HostModel.java
+++ b/testbed/src/main/java/rushwood/testbed/model/HostModel.java
@@ -6,28 +6,30 @@
 import java.util.SplittableRandom;
 
 /**
- * A database server under load: a number of slots that work, a queue before them, a slow start
- * after a restart, crash and hang, a role and a replication position.
+ * Models a database server under load: slots that execute requests, a queue for requests that wait
+ * for a slot, a warm-up after a restart, crashes and hangs, a role and a replication position.
  *
- * <p>It has no clock and no threads: callers pass the time, in nanoseconds, which never goes back.
- * When a request completes is decided as it is accepted, so the model needs no events of its own;
- * the same seed and the same calls give the same answers.
+ * <p>The model has no clock and no threads. Callers pass the time in nanoseconds, which must not go
+ * back. The completion time of a request is determined when the request is accepted, so the model
+ * needs no events of its own. The same seed and the same calls give the same results.
  */
 public final class HostModel {
-  /** How old the data of a {@link RequestKind#BOUNDED_READ} may be, in nanoseconds. */
+  /** The maximum age of the data that a {@link RequestKind#BOUNDED_READ} accepts. */
   public static final long MAX_STALENESS_NANOS = 500_000_000L;
 
   /**
    * The capacity of a host.
    *
-   * @param rate requests a second once it is warm, over all slots
-   * @param slots requests that it works on at once
-   * @param queue requests that may wait for a slot
-   * @param coldStartSpeed share of its warm speed right after a restart
-   * @param warmupNanos time from a restart until it is warm; the speed grows linearly
-   * @param overloadMultiple how many times its present speed it bears while it warms up
-   * @param overloadWindowNanos over which time that is counted; 0 for not at all
-   * @param lagNanos how far it is behind the primary as a replica
+   * @param rate the requests per second that all slots together complete when the host is warm
+   * @param slots the number of requests that the host executes at once
+   * @param queue the number of requests that may wait for a slot
+   * @param coldStartSpeed the speed right after a restart, as a share of the warm speed
+   * @param warmupNanos the time from a restart until the host is warm; the speed grows linearly
+   * @param overloadMultiple the work that the host withstands while it warms up, as a multiple of
+   *     the work that it completes at its present speed
+   * @param overloadWindowNanos the window over which arriving work is compared with that limit; 0
+   *     if the host withstands any amount
+   * @param lagNanos how far the host lags behind the primary while it is a replica
    */
   public record Parameters(
       double rate,
@@ -39,92 +41,108 @@
       long overloadWindowNanos,
       long lagNanos) {}
 
-  /** Whether a host takes a request, and why not. */
+  /** Whether a host accepts a request, or why it does not. */
   public enum OfferStatus {
     ACCEPTED,
+    /** All slots are busy and the queue is full. */
     OVERLOADED,
+    /** The request is a write and the host is a replica. */
     NOT_PRIMARY,
+    /** The host lags too far behind the primary for a {@link RequestKind#BOUNDED_READ}. */
     REPLICA_LAGGING,
+    /** The host is down or hangs. */
     NO_RESPONSE
   }
 
   /**
-   * A host's reaction to a request.
+   * A host's response to a request.
    *
-   * @param completesAt when an accepted request is done; {@code Long.MAX_VALUE} without a response
+   * @param completesAt the time at which an accepted request completes or a refused one was
+   *     refused; {@code Long.MAX_VALUE} without a response
    */
   public record OfferResult(OfferStatus status, long completesAt) {}
 
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  private static final long NOT_RESTARTED = Long.MIN_VALUE / 2;
   private static final OfferResult NO_RESPONSE =
       new OfferResult(OfferStatus.NO_RESPONSE, Long.MAX_VALUE);
 
-  // Service times are spread evenly around their mean, since those of real statements differ.
-  private static final double SHORTEST_SERVICE = 0.75;
-  private static final double SERVICE_SPREAD = 0.5;
+  // Service times vary as those of real statements do, here uniformly around their mean.
+  private static final double MIN_SERVICE_TIME_FACTOR = 0.75;
+  private static final double SERVICE_TIME_FACTOR_RANGE = 0.5;
 
   private final Parameters parameters;
   private final SplittableRandom random;
   private final long[] slotFreeAt;
   private final Deque<Long> completionTimes = new ArrayDeque<>(); // of accepted requests, unordered
-  private final ColdLoad coldLoad;
+  private final WarmupLoad warmupLoad;
   private boolean primary;
   private boolean up = true;
   private boolean hung;
-  private long startedAt = NEVER;
+  private long startedAt = NOT_RESTARTED;
   private int incarnation;
   private boolean crashOnOverload;
   private int overloadCrashes;
 
-  /** Creates a warm host that is up. */
+  /**
+   * Creates a warm host that is up.
+   *
+   * @param primary whether the host starts as the primary of its group
+   * @param seed the seed of the variation of service times
+   */
   public HostModel(Parameters parameters, boolean primary, long seed) {
     this.parameters = parameters;
     this.primary = primary;
     random = new SplittableRandom(seed);
     slotFreeAt = new long[parameters.slots()];
-    coldLoad = new ColdLoad(parameters);
+    warmupLoad = new WarmupLoad(parameters);
   }
 
-  /** Sets whether it crashes when it is overloaded while it warms up; else that is only noted. */
+  /**
+   * Sets whether the host crashes when it is overloaded while it warms up. If not, the overload
+   * only counts in {@link #worstColdOverload()}.
+   */
   public void setCrashOnOverload(boolean crash) {
     crashOnOverload = crash;
   }
 
-  /** Whether its process runs. */
+  /** Returns whether the host's process is running. */
   public boolean isUp() {
     return up;
   }
 
-  /** Whether it takes writes. */
+  /** Returns whether the host is the primary of its group and so accepts writes. */
   public boolean isPrimary() {
     return primary;
   }
 
-  /** Counts crashes and restarts: a request of an earlier incarnation is never answered. */
+  /**
+   * Returns a number that increases with each crash and restart. Callers must not answer requests
+   * that were accepted under an earlier number.
+   */
   public int incarnation() {
     return incarnation;
   }
 
-  /** How often it crashed of overload. */
+  /** Returns how often the host crashed because of overload. */
   public int overloadCrashes() {
     return overloadCrashes;
   }
 
   /**
-   * The most work that came within a window while it warmed up, as a share of what it bears in that
-   * window; above 1 it was overloaded.
+   * Returns the most work that arrived within a window during warm-up, as a share of what the host
+   * withstands in that window; above 1 the host was overloaded.
    */
   public double worstColdOverload() {
-    return coldLoad.worstOverload();
+    return warmupLoad.worstOverload();
   }
 
-  /** Ends its process. */
+  /** Ends the host's process; the accepted requests are lost. */
   public void crash() {
     up = false;
     incarnation++;
   }
 
-  /** Starts its process anew: cold and with nothing to do. */
+  /** Starts a new process of the host, which is cold and has no requests. */
   public void restart(long now) {
     up = true;
     incarnation++;
@@ -132,28 +150,29 @@
     startedAt = now;
     Arrays.fill(slotFreeAt, now);
     completionTimes.clear();
-    coldLoad.restart();
+    warmupLoad.restart();
   }
 
-  /** While it hangs it answers nothing that comes. */
+  /** Sets whether the host hangs: while it does, it responds to no new request. */
   public void setHung(boolean hung) {
     this.hung = hung;
   }
 
-  /** Makes it the primary or a replica. */
+  /** Makes the host the primary of its group or a replica. */
   public void setPrimary(boolean primary) {
     this.primary = primary;
   }
 
-  /** Its speed at that time as a share of its speed when warm. */
+  /** Returns the host's speed as a share of its warm speed. */
   public double relativeSpeed(long now) {
-    if (startedAt == NEVER || parameters.warmupNanos() <= 0) {
+    if (startedAt == NOT_RESTARTED || parameters.warmupNanos() <= 0) {
       return 1;
     }
-    double warmedShare = (double) (now - startedAt) / parameters.warmupNanos();
+    double warmupProgress = (double) (now - startedAt) / parameters.warmupNanos();
     return Math.min(
         1,
-        parameters.coldStartSpeed() + (1 - parameters.coldStartSpeed()) * Math.max(0, warmedShare));
+        parameters.coldStartSpeed()
+            + (1 - parameters.coldStartSpeed()) * Math.max(0, warmupProgress));
   }
 
   private boolean isWarmingUp(long now) {
@@ -161,25 +180,34 @@
   }
 
   /**
-   * How far it has applied the log, as a time: a primary up to now, a replica up to its lag ago.
+   * Returns how far the host has applied the log, as a time in nanoseconds: a primary up to now, a
+   * replica up to its lag before now.
    */
   public long position(long now) {
     return primary ? now : now - parameters.lagNanos();
   }
 
-  /** Accepted requests that are not done by that time. */
+  /**
+   * Returns the number of accepted requests whose completion time has not come yet. Until a crashed
+   * host restarts, this includes the requests that the crash lost.
+   */
   public int activeRequests(long now) {
     completionTimes.removeIf(completesAt -> completesAt <= now);
     return completionTimes.size();
   }
 
-  /** A request whose last byte arrives now. */
+  /**
+   * Offers the host a request whose last byte arrives now.
+   *
+   * <p>Work that arrives during warm-up may crash the host, see {@link #setCrashOnOverload}; then
+   * there is no response and {@link #isUp()} is false afterwards.
+   */
   public OfferResult offer(long now, RequestKind kind) {
     if (!up || hung) {
       return NO_RESPONSE;
     }
     long serviceNanos = (long) (parameters.slots() / parameters.rate() * 1e9);
-    trackColdLoad(now, serviceNanos);
+    trackWarmupLoad(now, serviceNanos);
     if (!up) {
       return NO_RESPONSE;
     }
@@ -200,8 +228,8 @@
   private OfferResult accept(long now, long serviceNanos) {
     int slot = earliestFreeSlot();
     long startsAt = Math.max(now, slotFreeAt[slot]);
-    double spread = SHORTEST_SERVICE + SERVICE_SPREAD * random.nextDouble();
-    slotFreeAt[slot] = startsAt + (long) (serviceNanos * spread / relativeSpeed(startsAt));
+    double factor = MIN_SERVICE_TIME_FACTOR + SERVICE_TIME_FACTOR_RANGE * random.nextDouble();
+    slotFreeAt[slot] = startsAt + (long) (serviceNanos * factor / relativeSpeed(startsAt));
     completionTimes.add(slotFreeAt[slot]);
     return new OfferResult(OfferStatus.ACCEPTED, slotFreeAt[slot]);
   }
@@ -214,12 +242,15 @@
     return earliest;
   }
 
-  /** Counts the work that comes while it warms up, and crashes of too much if it is to. */
-  private void trackColdLoad(long now, long serviceNanos) {
+  /**
+   * Tracks work that arrives during warm-up, and crashes the host if that overloads it and {@link
+   * #setCrashOnOverload} is set.
+   */
+  private void trackWarmupLoad(long now, long serviceNanos) {
     if (!isWarmingUp(now) || parameters.overloadWindowNanos() <= 0) {
       return;
     }
-    boolean isOverloaded = coldLoad.add(now, serviceNanos, relativeSpeed(now));
+    boolean isOverloaded = warmupLoad.add(now, serviceNanos, relativeSpeed(now));
     if (crashOnOverload && isOverloaded) {
       overloadCrashes++;
       crash();
--- a/testbed/src/main/java/rushwood/testbed/model/TestbedRequestClass.java
+++ b/testbed/src/main/java/rushwood/testbed/model/TestbedRequestClass.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * The request classes that the testbed's routers are configured with, in the order of their
- * settings.
+ * The request classes in the configuration of the testbed's routers, in the order in which it lists
+ * them.
  */
 public enum TestbedRequestClass {
-  /** A read whose data may be somewhat old, see {@link HostModel#MAX_STALENESS_NANOS}. */
+  /** A read of data that is at most {@link HostModel#MAX_STALENESS_NANOS} old. */
   BOUNDED_READ("pass", false),
   /** A write that must not run twice. */
   NON_IDEMPOTENT_WRITE("pay", true),
-  /** A read whose data may be of any age. */
+  /** A read of data of any age. */
   EVENTUAL_READ("any", false),
   /** A write with an idempotency key. */
   KEYED_WRITE("mark", true);
@@ -24,13 +24,13 @@
     this.isWrite = isWrite;
   }
 
-  /** Its name in settings, statements and experiment files. */
+  /** Returns the name in settings, statements and experiment files. */
   @JsonValue
   public String wireName() {
     return wireName;
   }
 
-  /** Whether its requests are writes. */
+  /** Returns whether requests of this class are writes. */
   public boolean isWrite() {
     return isWrite;
   }
--- a/testbed/src/main/java/rushwood/testbed/model/WriteLedger.java
+++ b/testbed/src/main/java/rushwood/testbed/model/WriteLedger.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * Records how often each write ran and what its client was told, to find writes that ran twice or
- * were confirmed though they never ran. A write is known by its client's number rather than by the
- * request's id, since each try has an id of its own.
+ * Records how often each write ran and whether its client was told that it succeeded, to find
+ * writes that ran twice and writes that were confirmed but never ran. A write is identified by the
+ * number of its client, because each try has a request id of its own.
  */
 public final class WriteLedger {
   private static final class Entry {
@@ -25,17 +25,17 @@
     return entries.computeIfAbsent(client, newClient -> new Entry());
   }
 
-  /** A host ran the try with that id of that client's write. */
+  /** Records that a host ran a try of a client's write. */
   public void recordExecution(int client, String tryId) {
     entry(client).executionsByTry.merge(tryId, 1, Integer::sum);
   }
 
-  /** The client was told the outcome of a try. */
+  /** Records the answer that a client got to a try. */
   public void recordAnswer(int client, boolean success) {
     entry(client).successes += success ? 1 : 0;
   }
 
-  /** Tries that ran more than once, which only a router's retry can have caused. */
+  /** Returns how many tries ran more than once, which only a retry by a router can cause. */
   public long duplicatedTries() {
     return entries.values().stream()
         .flatMap(entry -> entry.executionsByTry.values().stream())
@@ -43,12 +43,15 @@
         .count();
   }
 
-  /** Writes that ran more than once over all tries: a client repeated one that may have run. */
+  /**
+   * Returns how many writes ran more than once, counting all their tries. The cause is a retry by
+   * the router or by the client.
+   */
   public long duplicatedWrites() {
     return entries.values().stream().filter(entry -> entry.executions() > 1).count();
   }
 
-  /** Writes that were confirmed to their clients though no host ran them. */
+  /** Returns how many writes were confirmed to their clients although no host ran them. */
   public long falseSuccesses() {
     return entries.values().stream()
         .filter(entry -> entry.successes > 0 && entry.executionsByTry.isEmpty())
--- a/testbed/src/main/java/rushwood/testbed/model/package-info.java
+++ b/testbed/src/main/java/rushwood/testbed/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Models of hosts and clients without I/O, clock or threads. Time is passed in, so that experiments
- * on sockets and in virtual time use the same ones.
+ * Models of hosts and clients without I/O, clocks or threads. Callers pass the time, so that
+ * experiments on sockets and in virtual time share the same models.
  */
 @NullMarked
 package rushwood.testbed.model;
--- a/testbed/src/main/java/rushwood/testbed/report/ReportWriter.java
+++ b/testbed/src/main/java/rushwood/testbed/report/ReportWriter.java
@@ -23,16 +23,19 @@
 import rushwood.testbed.load.ExperimentResult.TimeSeries;
 import rushwood.testbed.load.ReportNames;
 
-/** Writes results; those of several runs stand side by side, each under its label. */
+/** Formats the results of experiments; those of several runs are set side by side under labels. */
 public final class ReportWriter {
   private static final int PLOT_WIDTH = 640;
   private static final int PLOT_HEIGHT = 240;
+  private static final String TIME_AXIS_LABEL = "time (s)";
+  private static final String VALUE_AXIS_LABEL =
+      "sum per interval of " + ExperimentResult.STEP_SECONDS + " s";
   private static final String STYLE =
       "body{font:14px sans-serif}td,th{padding:2px 12px;text-align:right}";
 
   private ReportWriter() {}
 
-  /** One result as JSON: name, figures, counters and time series. */
+  /** Formats one result as JSON: its name, figures, counters and time series. */
   public static String toJson(ExperimentResult result) throws JsonProcessingException {
     ObjectNode json = JsonNodeFactory.instance.objectNode();
     json.put("name", result.name()).put("step_seconds", ExperimentResult.STEP_SECONDS);
@@ -51,7 +54,13 @@
     values.forEach(array::add);
   }
 
-  /** A page with a table of figures and counters, a column a result, and a plot a time series. */
+  /**
+   * Formats results as an HTML page: a table of figures and counters with one column per result,
+   * and one plot per time series.
+   *
+   * @param results the results by label, in the order of their columns
+   * @throws IOException if a plot cannot be encoded
+   */
   public static String toHtml(String title, Map<String, ExperimentResult> results)
       throws IOException {
     StringBuilder page = new StringBuilder("<!doctype html><meta charset=utf-8><title>");
@@ -69,7 +78,7 @@
     return page.append('\n').toString();
   }
 
-  /** A row for each name that any result has a value of; no value, an empty cell. */
+  /** Appends a row for each name in any of the results; the cell of a missing value is empty. */
   private static <T extends Number> void appendRows(
       StringBuilder page,
       Map<String, ExperimentResult> results,
@@ -96,13 +105,14 @@
     XYSeriesCollection data = new XYSeriesCollection();
     results.forEach(
         (label, result) -> data.addSeries(toXySeries(label, result.timeSeries().get(series))));
-    JFreeChart chart = ChartFactory.createXYLineChart(series, "s", "a step of 0.1 s", data);
+    JFreeChart chart =
+        ChartFactory.createXYLineChart(series, TIME_AXIS_LABEL, VALUE_AXIS_LABEL, data);
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ChartUtils.writeChartAsPNG(out, chart, PLOT_WIDTH, PLOT_HEIGHT);
     return out.toByteArray();
   }
 
-  /** A curve for a plot; empty for a result without that time series. */
+  /** Converts a time series to a curve; empty if the result does not have the series. */
   private static XYSeries toXySeries(String label, @Nullable TimeSeries series) {
     XYSeries curve = new XYSeries(label);
     List<Double> values = series == null ? List.of() : series.values();
--- a/testbed/src/main/java/rushwood/testbed/report/package-info.java
+++ b/testbed/src/main/java/rushwood/testbed/report/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Writes results as JSON, and as an HTML page with plots that sets several results side by side.
+ * Formats the results of experiments as JSON, and as an HTML page that compares several results in
+ * a table and plots.
  */
 @NullMarked
 package rushwood.testbed.report;
--- a/testbed/src/main/java/rushwood/testbed/simulation/EventQueue.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/EventQueue.java
@@ -4,41 +4,41 @@
 import java.util.PriorityQueue;
 
 /**
- * The events of a simulation in the order of their times; those of one time run in the order in
- * which they were scheduled, so a run can be repeated exactly. Times are in nanoseconds.
+ * The pending events of a simulation, ordered by time. Events of the same time run in the order in
+ * which they were scheduled, so that a run is deterministic. All times are in nanoseconds.
  */
 final class EventQueue {
-  private record Event(long at, long sequence, Runnable task) {}
+  private record Event(long time, long sequence, Runnable task) {}
 
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
-  private final long start;
+      new PriorityQueue<>(Comparator.comparingLong(Event::time).thenComparingLong(Event::sequence));
+  private final long startTime;
   private long now;
   private long nextSequence;
 
-  EventQueue(long start) {
-    this.start = start;
-    now = start;
+  EventQueue(long startTime) {
+    this.startTime = startTime;
+    now = startTime;
   }
 
-  /** The time of the event that runs. */
+  /** Returns the time of the event that runs or ran last; the start time before the first one. */
   long now() {
     return now;
   }
 
-  /** The time since the start. */
+  /** Returns the time since the start. */
   long elapsed() {
-    return now - start;
+    return now - startTime;
   }
 
-  /** Schedules a task; a time that has passed means now. */
-  void schedule(long at, Runnable task) {
-    events.add(new Event(Math.max(now, at), nextSequence++, task));
+  /** Schedules a task for a time; one that is in the past is treated as now. */
+  void schedule(long time, Runnable task) {
+    events.add(new Event(Math.max(now, time), nextSequence++, task));
   }
 
-  /** Schedules a task at that time from the start. */
+  /** Schedules a task for a time that is counted from the start. */
   void scheduleAtElapsed(long elapsed, Runnable task) {
-    schedule(start + elapsed, task);
+    schedule(startTime + elapsed, task);
   }
 
   /** Schedules a task after a delay. */
@@ -46,13 +46,17 @@
     schedule(now + delay, task);
   }
 
-  /** Runs the next event, unless it comes later than that after the start or there is none. */
+  /**
+   * Runs the next event if it is due within a time from the start.
+   *
+   * @return whether an event ran
+   */
   boolean runNext(long maxElapsed) {
-    if (events.isEmpty() || events.peek().at() > start + maxElapsed) {
+    if (events.isEmpty() || events.peek().time() > startTime + maxElapsed) {
       return false;
     }
     Event event = events.poll();
-    now = event.at();
+    now = event.time();
     event.task().run();
     return true;
   }
--- a/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
@@ -19,21 +19,21 @@
 import rushwood.testbed.model.WriteLedger;
 
 /**
- * Runs an experiment in virtual time with any number of routers, each with a routing policy of its
- * own; they share nothing. The same experiment always gives the same result.
+ * Runs an experiment in virtual time with any number of routers. Each router has a routing policy
+ * of its own and shares no state with the others. The same experiment always gives the same result.
  *
- * <p>Sockets are not modelled, so connection admission is not either: connections cost nothing, and
- * only attempts to connect to hosts that are down are counted. An instance runs once.
+ * <p>Sockets and connection admission are not modelled: connections cost nothing, and only attempts
+ * to connect to hosts that are down are counted. An instance runs once.
  */
 public final class Simulation {
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final long START_TIME = 1_000_000_000L * NANOS_PER_MILLI; // some Unix time
-  private static final long SAMPLE_INTERVAL = 100 * NANOS_PER_MILLI;
+  private static final long START_TIME_NANOS = 1_000_000_000L * NANOS_PER_MILLI; // any Unix time
+  private static final long SAMPLE_INTERVAL_NANOS = 100 * NANOS_PER_MILLI;
 
   private final Experiment experiment;
   private final RoutingSettings settings;
   private final Optional<OverloadSettings> overloadSettings;
-  private final EventQueue events = new EventQueue(START_TIME);
+  private final EventQueue events = new EventQueue(START_TIME_NANOS);
   private final WriteLedger ledger = new WriteLedger();
   private final SimulationCounts counts = new SimulationCounts();
   private final ExperimentResult result;
@@ -51,19 +51,33 @@
     context = new SimulationContext(events, store, counts, result);
   }
 
-  /** A simulation of routers with overload control. */
+  /**
+   * Creates a simulation of routers with overload control.
+   *
+   * @throws InvalidConfigException if the experiment's router settings are invalid
+   */
   public static Simulation withOverloadControl(Experiment experiment, OverloadSettings settings)
       throws InvalidConfigException {
     return new Simulation(experiment, Optional.of(settings));
   }
 
-  /** A simulation of routers with the routing policy alone. */
+  /**
+   * Creates a simulation of routers that have the routing policy alone.
+   *
+   * @throws InvalidConfigException if the experiment's router settings are invalid
+   */
   public static Simulation withoutOverloadControl(Experiment experiment)
       throws InvalidConfigException {
     return new Simulation(experiment, Optional.empty());
   }
 
-  /** Runs until every client is served or has given up, or the experiment's time is over. */
+  /**
+   * Runs the experiment until every client was served or gave up, or the experiment's duration is
+   * over.
+   *
+   * @throws UnsupportedOperationException if an event silences discovery or terminates a router,
+   *     neither of which is simulated
+   */
   public ExperimentResult run() {
     for (int i = 0; i < experiment.routerCount(); i++) {
       long seed = experiment.seed() * 1_000 + i;
@@ -74,44 +88,44 @@
     for (ScheduledEvent event : experiment.events()) {
       events.scheduleAtElapsed(event.nanos(), () -> event.applyTo(handler));
     }
-    events.scheduleAtElapsed(0, this::sample);
-    boolean hasNext = true;
-    while (!counts.allClientsFinished() && hasNext) {
-      hasNext = events.runNext(experiment.durationNanos());
+    events.scheduleAtElapsed(0, this::sampleActiveRequests);
+    boolean ranEvent = true;
+    while (!counts.allClientsFinished() && ranEvent) {
+      ranEvent = events.runNext(experiment.durationNanos());
     }
-    reportFigures();
+    recordFigures();
     return result;
   }
 
   private void scheduleClients() {
-    int number = 0;
+    int clientNumber = 0;
     for (PopulationSpec spec : experiment.populations()) {
       RequestClass requestClass =
           RequestClass.findByName(settings.requestClasses(), spec.requestClass().wireName())
               .orElseThrow();
-      SplittableRandom random = new SplittableRandom(experiment.seed() + number);
+      SplittableRandom random = new SplittableRandom(experiment.seed() + clientNumber);
       for (int i = 0; i < spec.count(); i++) {
-        VirtualRouter router = routers.get(number % routers.size());
+        VirtualRouter router = routers.get(clientNumber % routers.size());
         VirtualClient client =
-            new VirtualClient(context, router, number, spec, requestClass, random);
-        number++;
+            new VirtualClient(context, router, clientNumber, spec, requestClass, random);
+        clientNumber++;
         counts.clientCreated();
         events.scheduleAtElapsed(spec.arrivalNanos(i), client::startTry);
       }
     }
   }
 
-  private void sample() {
+  private void sampleActiveRequests() {
     for (VirtualHost host : store.hosts()) {
       result.addToSeries(
           ReportNames.activeRequestsSeries(host.id().toString()),
           events.elapsed(),
           host.model().activeRequests(events.now()));
     }
-    events.scheduleAfter(SAMPLE_INTERVAL, this::sample);
+    events.scheduleAfter(SAMPLE_INTERVAL_NANOS, this::sampleActiveRequests);
   }
 
-  private void reportFigures() {
+  private void recordFigures() {
     result.recordFigure(ReportNames.ROUTERS, routers.size());
     counts.reportTo(result);
     result.recordFigure(ReportNames.WORST_COLD_OVERLOAD, store.worstColdOverload());
@@ -122,7 +136,9 @@
     result.recordCompletionPercentiles();
   }
 
-  /** Carries out the experiment's events; those that concern sockets or processes are refused. */
+  /**
+   * Applies the experiment's events; silencing discovery or terminating a router is not supported.
+   */
   private final class EventHandler implements ScheduledEvent.Handler {
     private VirtualHost host(String id) {
       return store.host(new HostId(id));
@@ -160,16 +176,17 @@
 
     @Override
     public void silenceDiscovery() {
-      throw notSimulated("silence");
+      throw unsupportedEvent("silence");
     }
 
     @Override
     public void terminateRouter() {
-      throw notSimulated("term");
+      throw unsupportedEvent("term");
     }
 
-    private UnsupportedOperationException notSimulated(String event) {
-      return new UnsupportedOperationException(event + " is not played in virtual time");
+    private UnsupportedOperationException unsupportedEvent(String event) {
+      return new UnsupportedOperationException(
+          "event \"" + event + "\" is not supported in virtual time");
     }
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/simulation/SimulationCounts.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/SimulationCounts.java
@@ -5,7 +5,7 @@
 import rushwood.testbed.load.ExperimentResult;
 import rushwood.testbed.load.ReportNames;
 
-/** What a simulation counts over all its clients and routers. */
+/** The counts of a simulation over all its clients and routers. */
 final class SimulationCounts {
   private final Map<Integer, Integer> rejectedByGroup = new TreeMap<>();
   private int clients;
@@ -16,7 +16,7 @@
   private int rejected;
   private int tries;
   private int attempts;
-  private int connectsWhileDown;
+  private int connectsToDownHosts;
   private long lastSuccessNanos;
 
   void clientCreated() {
@@ -53,25 +53,26 @@
     attempts++;
   }
 
-  /** A router tried to connect to a host whose process does not run. */
-  void connectedWhileDown() {
-    connectsWhileDown++;
+  /** Counts an attempt of a router to connect to a host whose process is not running. */
+  void connectToDownHostStarted() {
+    connectsToDownHosts++;
   }
 
   boolean allClientsFinished() {
     return unfinished == 0;
   }
 
-  /** Clients that got what they wanted. */
+  /** Returns the number of clients that were served. */
   int succeeded() {
     return succeeded;
   }
 
-  /** When the last client succeeded, in seconds from the start. */
+  /** Returns when the last client was served, in seconds from the start; 0 if none was. */
   double lastSuccessSeconds() {
     return lastSuccessNanos / 1e9;
   }
 
+  /** Records all counts as figures. */
   void reportTo(ExperimentResult result) {
     result.recordFigure(ReportNames.CLIENTS, clients);
     result.recordFigure(ReportNames.SHARE_SUCCEEDED, (double) succeeded / clients);
@@ -83,6 +84,6 @@
         (group, count) -> result.recordFigure(ReportNames.rejectedOfGroup(group), count));
     result.recordFigure(ReportNames.TRIES, tries);
     result.recordFigure(ReportNames.ATTEMPTS, attempts);
-    result.recordFigure(ReportNames.CONNECTS_WHILE_DOWN, connectsWhileDown);
+    result.recordFigure(ReportNames.CONNECTS_WHILE_DOWN, connectsToDownHosts);
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualAttempt.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualAttempt.java
@@ -8,9 +8,8 @@
 import rushwood.api.RequestClass.Consistency;
 import rushwood.testbed.model.RequestKind;
 
-/** An attempt of a router at a host. It ends once; later outcomes are ignored. */
+/** An attempt of a router at a host. It ends with its first outcome; later ones are ignored. */
 final class VirtualAttempt {
-
   private final VirtualRouter router;
   private final VirtualRequest request;
   private final int number;
@@ -55,7 +54,10 @@
         : RequestKind.BOUNDED_READ;
   }
 
-  /** Ends it: a row goes to the client at once, and the routing policy is told in any case. */
+  /**
+   * Ends the attempt and reports its result to the router. If it succeeded, the client that waits
+   * for the request is answered first, without further latency.
+   */
   void end(AttemptOutcome outcome) {
     if (ended) {
       return;
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualClient.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualClient.java
@@ -9,7 +9,7 @@
 import rushwood.testbed.load.PopulationSpec;
 import rushwood.testbed.load.ReportNames;
 
-/** A client in virtual time: one request, sent to one router in as many tries as it takes. */
+/** A client in virtual time. It sends one request to one router, with retries. */
 final class VirtualClient {
   private static final long NOT_STARTED = -1;
   private static final long FIRST_FINGERPRINT = 1; // 0 means that a request has none
@@ -23,9 +23,14 @@
   private final SplittableRandom random;
   private long startedAt = NOT_STARTED;
   private int triesMade;
-  private boolean answered;
+  private boolean tryEnded;
 
-  /** Client numbers are unique; all clients of a population share its random numbers. */
+  /**
+   * Creates a client that has sent nothing yet.
+   *
+   * @param number a number that no other client of the simulation has
+   * @param random the source of random numbers, shared by all clients of the population
+   */
   VirtualClient(
       SimulationContext context,
       VirtualRouter router,
@@ -42,20 +47,20 @@
     events = context.events();
   }
 
-  /** Sends the request, for the first time or again. */
+  /** Starts the next try: sends the request to the router and schedules the try's deadline. */
   void startTry() {
     startedAt = startedAt == NOT_STARTED ? events.now() : startedAt;
     triesMade++;
-    answered = false;
+    tryEnded = false;
     context.counts().tryStarted();
     addToSeries(ReportNames.TRIES_SERIES);
-    int thisTry = triesMade;
+    int tryNumber = triesMade;
     long deadline = events.now() + spec.tryTimeoutNanos();
     RequestId id = new RequestId(number + "-" + triesMade);
-    Request request = newRequest(id, deadline - SimulationContext.ONE_WAY_LATENCY);
+    Request request = newRequest(id, deadline - SimulationContext.ONE_WAY_LATENCY_NANOS);
     events.scheduleAfter(
-        SimulationContext.ONE_WAY_LATENCY, () -> router.requestArrived(request, this));
-    events.schedule(deadline, () -> onDeadline(id, thisTry));
+        SimulationContext.ONE_WAY_LATENCY_NANOS, () -> router.requestArrived(request, this));
+    events.schedule(deadline, () -> onDeadline(id, tryNumber));
   }
 
   private Request newRequest(RequestId id, long deadline) {
@@ -64,42 +69,42 @@
         id, requestClass, null, new GroupId(spec.group()), deadline, 0, fingerprint, 0);
   }
 
-  /** The number of the client that made a request, whichever of its tries that is. */
+  /** Returns the number of the client that sent a request, which is the same in all its tries. */
   static int numberOf(Request request) {
     return (int) (request.fingerprint() - FIRST_FINGERPRINT);
   }
 
-  private void onDeadline(RequestId id, int expiredTry) {
-    if (triesMade == expiredTry && !answered) {
-      answered = true;
+  private void onDeadline(RequestId id, int tryNumber) {
+    if (triesMade == tryNumber && !tryEnded) {
+      tryEnded = true;
       router.clientDisconnected(id);
       handleUnknownOutcome();
     }
   }
 
-  /** The request was served; too late if the try has ended. */
+  /** Handles a successful answer; it is ignored if the try has already ended. */
   void onSuccess() {
-    if (!answered) {
-      answered = true;
+    if (!tryEnded) {
+      tryEnded = true;
       context.counts().clientSucceeded(events.elapsed());
       addToSeries(ReportNames.GOODPUT_SERIES);
       context.result().recordCompletion(events.now() - startedAt);
     }
   }
 
-  /** The router rejected the try; {@code retryAfter} is in nanoseconds, 0 if it named no time. */
-  void onRejected(long retryAfter) {
-    if (!answered) {
-      answered = true;
+  /** Handles a rejection of the try; {@code retryAfterNanos} is 0 without a Retry-After. */
+  void onRejected(long retryAfterNanos) {
+    if (!tryEnded) {
+      tryEnded = true;
       context.counts().tryRejected(spec.group());
-      retryOrFinish(retryAfter);
+      retryOrFinish(retryAfterNanos);
     }
   }
 
-  /** The router failed the try: the request may have run. */
+  /** Handles a failure of the try, after which the request may have run. */
   void onFailed() {
-    if (!answered) {
-      answered = true;
+    if (!tryEnded) {
+      tryEnded = true;
       handleUnknownOutcome();
     }
   }
@@ -112,11 +117,11 @@
     }
   }
 
-  private void retryOrFinish(long retryAfter) {
+  private void retryOrFinish(long retryAfterNanos) {
     if (triesMade >= spec.maxTries()) {
       context.counts().clientTriesExhausted();
     } else {
-      long delay = spec.retryBehavior().retryDelay(triesMade, retryAfter, random);
+      long delay = spec.retryBehavior().retryDelay(triesMade, retryAfterNanos, random);
       events.scheduleAfter(delay, this::startTry);
     }
   }
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualHost.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualHost.java
@@ -13,7 +13,7 @@
 import rushwood.testbed.model.HostModel;
 import rushwood.testbed.model.WriteLedger;
 
-/** A host in virtual time: its model, and the attempts that are in flight at it. */
+/** A host in virtual time: its model and the attempts in flight to it. */
 final class VirtualHost {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final ZoneId ZONE = new ZoneId("a");
@@ -51,7 +51,7 @@
     return spec.rate();
   }
 
-  /** The host as discovery lists it. */
+  /** Returns the host as discovery lists it, with its present role. */
   Endpoint toEndpoint() {
     return new Endpoint(
         id,
@@ -63,27 +63,27 @@
         Endpoint.State.READY);
   }
 
-  /** Ends its process; routers see their connections break. */
+  /** Crashes the host's process; attempts in flight end when their routers lose the connection. */
   void crash() {
     model.crash();
     List.copyOf(attemptsInFlight)
         .forEach(attempt -> endAfterLatency(attempt, AttemptOutcome.CONNECTION_LOST));
   }
 
-  /** Starts its process anew. */
+  /** Starts a new process of the host. */
   void restart() {
     model.restart(events.now());
     startedMillis = events.now() / NANOS_PER_MILLI;
   }
 
-  /** An attempt that was sent to it, which arrives after the latency. */
+  /** Sends the host an attempt, which arrives after the one-way latency. */
   void send(VirtualAttempt attempt, long timeoutNanos) {
     attemptsInFlight.add(attempt);
     events.scheduleAfter(timeoutNanos, () -> attempt.end(AttemptOutcome.TIMED_OUT));
-    events.scheduleAfter(SimulationContext.ONE_WAY_LATENCY, () -> receive(attempt));
+    events.scheduleAfter(SimulationContext.ONE_WAY_LATENCY_NANOS, () -> receive(attempt));
   }
 
-  /** Takes an attempt that has ended out of those in flight. */
+  /** Removes an attempt that has ended from those in flight. */
   void attemptEnded(VirtualAttempt attempt) {
     attemptsInFlight.remove(attempt);
   }
@@ -93,7 +93,7 @@
     switch (result.status()) {
       case NO_RESPONSE -> {
         if (!model.isUp()) {
-          crash();
+          crash(); // the offer crashed the model by overload, or it was down already
         }
       }
       case OVERLOADED -> endAfterLatency(attempt, AttemptOutcome.OVERLOADED);
@@ -105,7 +105,7 @@
     }
   }
 
-  /** The attempt is done, unless the process that accepted it has crashed meanwhile. */
+  /** Completes an attempt, unless the process that accepted it has crashed in the meantime. */
   private void complete(VirtualAttempt attempt, int incarnation) {
     if (model.incarnation() != incarnation) {
       return;
@@ -118,6 +118,6 @@
   }
 
   private void endAfterLatency(VirtualAttempt attempt, AttemptOutcome outcome) {
-    events.scheduleAfter(SimulationContext.ONE_WAY_LATENCY, () -> attempt.end(outcome));
+    events.scheduleAfter(SimulationContext.ONE_WAY_LATENCY_NANOS, () -> attempt.end(outcome));
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRequest.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRequest.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 import rushwood.api.Request;
 
-/** A request at a router, until its client has an answer and all its attempts have ended. */
+/** A request at a router, kept until its client needs no answer and all its attempts have ended. */
 final class VirtualRequest {
   private final Request details;
   private final List<VirtualAttempt> attempts = new ArrayList<>();
@@ -17,7 +17,7 @@
     waitingClient = client;
   }
 
-  /** The request as the routing policy knows it. */
+  /** Returns the request as the routing policy receives it. */
   Request details() {
     return details;
   }
@@ -26,26 +26,26 @@
     return attempts.get(number);
   }
 
-  /** Adds an attempt, the first of which has number 0. */
+  /** Adds an attempt at a host. Attempts of a request are numbered from 0. */
   VirtualAttempt addAttempt(VirtualRouter router, VirtualHost host, EventQueue events) {
     VirtualAttempt attempt = new VirtualAttempt(router, this, attempts.size(), host, events);
     attempts.add(attempt);
     return attempt;
   }
 
-  /** Whether a client still waits for an answer. */
+  /** Returns whether a client is still waiting for an answer. */
   boolean isAwaited() {
     return waitingClient != null;
   }
 
-  /** The client that waits; from now on none does. */
+  /** Removes and returns the client that is waiting for an answer; empty if none is. */
   Optional<VirtualClient> detachClient() {
     Optional<VirtualClient> client = Optional.ofNullable(waitingClient);
     waitingClient = null;
     return client;
   }
 
-  /** Whether nothing more can come of it. */
+  /** Returns whether no client is waiting and no attempt is in flight. */
   boolean isFinished() {
     return !isAwaited() && attempts.stream().allMatch(VirtualAttempt::hasEnded);
   }
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
@@ -27,9 +27,9 @@
 import rushwood.testbed.model.HostModel;
 
 /**
- * A router in virtual time: the real routing policy, with overload control or without it, on the
- * models of the hosts. As in the real router, calls to the policy that arise while one runs are
- * made after it has returned, in their order.
+ * A router in virtual time: runs the real routing policy, with or without overload control, against
+ * models of the hosts. As in the real router, calls to the policy that are triggered while another
+ * one runs are queued and made in order after it has returned.
  */
 final class VirtualRouter implements PolicyActions {
   private static final String OVERLOAD_LOG_PREFIX = "overload state of router";
@@ -44,7 +44,11 @@
   private boolean inPolicyCall;
   private long timerAt = NO_TIMER;
 
-  /** With overload control where settings for it are given. */
+  /**
+   * Creates a router and gives its policy the endpoint list.
+   *
+   * @param overloadSettings the settings of overload control; empty for a router without it
+   */
   VirtualRouter(
       SimulationContext context,
       RoutingSettings settings,
@@ -70,6 +74,7 @@
     callPolicy(() -> policy.endpointsReplaced(events.now(), context.store().endpoints(), true));
   }
 
+  /** Makes a call to the policy and those that it triggers, or queues it if one is running. */
   private void callPolicy(Runnable call) {
     pendingCalls.add(call);
     if (inPolicyCall) {
@@ -82,18 +87,18 @@
     inPolicyCall = false;
   }
 
-  /** Discovery tells the endpoint list as it is now. */
+  /** Passes the present state of all endpoints to the policy, as an update from discovery. */
   void updateEndpoints() {
     callPolicy(() -> policy.endpointsUpdated(events.now(), context.store().endpoints()));
   }
 
-  /** A client's request has arrived. */
+  /** Handles the arrival of a client's request. */
   void requestArrived(Request request, VirtualClient client) {
     requests.put(request.id(), new VirtualRequest(request, client));
     callPolicy(() -> policy.requestReceived(events.now(), request));
   }
 
-  /** A client does not wait any more for the answer to a request. */
+  /** Handles that a client has stopped waiting for the answer to a request. */
   void clientDisconnected(RequestId id) {
     VirtualRequest request = requests.get(id);
     if (request == null || request.detachClient().isEmpty()) {
@@ -106,7 +111,12 @@
         });
   }
 
-  /** An attempt has ended; its result is made when the policy is free to take it. */
+  /**
+   * Reports the end of an attempt to the policy.
+   *
+   * @param result creates the result; called just before the policy receives it, so that it
+   *     includes the effects of calls that were queued earlier
+   */
   void attemptEnded(VirtualRequest request, Supplier<AttemptResult> result) {
     callPolicy(
         () -> {
@@ -124,7 +134,8 @@
   @Override
   public void send(RequestId id, HostId hostId, long timeoutNanos, long startWithinNanos) {
     VirtualHost host = context.store().host(hostId);
-    VirtualRequest request = Objects.requireNonNull(requests.get(id), "an unknown request is sent");
+    VirtualRequest request =
+        Objects.requireNonNull(requests.get(id), () -> "policy sent unknown request " + id);
     VirtualAttempt attempt = request.addAttempt(this, host, events);
     context.counts().attemptStarted();
     if (host.model().isUp()) {
@@ -132,17 +143,17 @@
       connectBackoff.attemptSucceeded(hostId);
       host.send(attempt, timeoutNanos);
     } else if (connectBackoff.isAttemptAllowed(hostId, events.now())) {
-      connectWhileDown(hostId, attempt);
+      connectToDownHost(hostId, attempt);
     } else {
       pendingCalls.add(() -> attempt.end(AttemptOutcome.NOT_SENT));
     }
   }
 
-  private void connectWhileDown(HostId hostId, VirtualAttempt attempt) {
-    context.counts().connectedWhileDown();
+  private void connectToDownHost(HostId hostId, VirtualAttempt attempt) {
+    context.counts().connectToDownHostStarted();
     connectBackoff.attemptStarted(hostId);
     events.scheduleAfter(
-        SimulationContext.ROUND_TRIP,
+        SimulationContext.ROUND_TRIP_NANOS,
         () -> {
           connectBackoff.attemptFailed(hostId, events.now());
           attempt.end(AttemptOutcome.CONNECT_FAILED);
@@ -180,16 +191,16 @@
   }
 
   private void scheduleAnswer(Runnable answer) {
-    events.scheduleAfter(SimulationContext.ONE_WAY_LATENCY, answer);
+    events.scheduleAfter(SimulationContext.ONE_WAY_LATENCY_NANOS, answer);
   }
 
   @Override
   public void checkHealth(HostId id) {
     HostModel model = context.store().host(id).model();
     if (!model.isUp()) {
-      context.counts().connectedWhileDown();
+      context.counts().connectToDownHostStarted();
     }
-    events.scheduleAfter(SimulationContext.ROUND_TRIP, () -> finishHealthCheck(id, model));
+    events.scheduleAfter(SimulationContext.ROUND_TRIP_NANOS, () -> finishHealthCheck(id, model));
   }
 
   private void finishHealthCheck(HostId id, HostModel model) {
@@ -209,7 +220,7 @@
     }
   }
 
-  /** Fires the timer, unless one for an earlier time has been set meanwhile. */
+  /** Fires the timer, unless it has been replaced by one for an earlier time. */
   private void fireTimer(long time) {
     if (timerAt == time) {
       timerAt = NO_TIMER;
@@ -219,7 +230,7 @@
 
   @Override
   public void subscribeToEndpoints() {
-    // The simulation gives every router the list at its start and tells it of each change.
+    // The simulation passes the list to each router at its creation, and updates as they happen.
   }
 
   @Override
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualStore.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualStore.java
@@ -11,7 +11,7 @@
 import rushwood.testbed.load.HostSpec;
 import rushwood.testbed.model.WriteLedger;
 
-/** The hosts of a simulation, and the endpoint list that discovery gives of them. */
+/** The hosts of a simulation and the endpoint list in which discovery announces them. */
 final class VirtualStore {
   private final Map<HostId, VirtualHost> hosts = new LinkedHashMap<>();
 
@@ -23,6 +23,11 @@
     }
   }
 
+  /**
+   * Returns the host with an id.
+   *
+   * @throws NullPointerException if there is none
+   */
   VirtualHost host(HostId id) {
     return Objects.requireNonNull(hosts.get(id), () -> "no host " + id);
   }
@@ -31,12 +36,12 @@
     return hosts.values();
   }
 
-  /** Every host as an endpoint that is ready, with its present role. */
+  /** Returns an endpoint for each host, also one that is down; all are ready. */
   List<Endpoint> endpoints() {
     return hosts.values().stream().map(VirtualHost::toEndpoint).toList();
   }
 
-  /** Makes a host the primary of its group, and the group's others replicas. */
+  /** Makes a host the primary of its group and the other hosts of the group replicas. */
   void promote(HostId id) {
     VirtualHost promoted = host(id);
     hosts.values().stream()
@@ -44,7 +49,7 @@
         .forEach(host -> host.model().setPrimary(host == promoted));
   }
 
-  /** The requests that all hosts together complete in a second when warm. */
+  /** Returns the requests per second that all hosts together complete when they are warm. */
   double totalRate() {
     double rate = 0;
     for (VirtualHost host : hosts.values()) {
@@ -53,14 +58,14 @@
     return rate;
   }
 
-  /** The highest {@link rushwood.testbed.model.HostModel#worstColdOverload()} of any host. */
+  /** Returns the highest {@link rushwood.testbed.model.HostModel#worstColdOverload()} of a host. */
   double worstColdOverload() {
     return hosts.values().stream()
         .mapToDouble(host -> host.model().worstColdOverload())
         .reduce(0, Math::max);
   }
 
-  /** How often any host crashed of overload. */
+  /** Returns the number of crashes because of overload, summed over all hosts. */
   int overloadCrashes() {
     return hosts.values().stream().mapToInt(host -> host.model().overloadCrashes()).sum();
   }
--- a/testbed/src/main/java/rushwood/testbed/simulation/package-info.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Experiments in virtual time: the routing policy and overload control of any number of routers,
- * against models of hosts and clients. A run is deterministic and has no threads.
+ * Experiments in virtual time: the routing policies and overload control of any number of routers
+ * run against models of hosts and clients. A run is single-threaded and deterministic.
  */
 @NullMarked
 package rushwood.testbed.simulation;
--- a/testbed/src/main/java/rushwood/testbed/standin/EndpointEntry.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/EndpointEntry.java
@@ -6,10 +6,13 @@
 import rushwood.api.Endpoint;
 
 /**
- * An endpoint as the list of a {@link StandinDiscovery} has it.
+ * An endpoint in the list of a {@link StandinDiscovery}.
  *
- * @param address where its host listens
- * @param startedMillis when its process started, in Unix time; 0 for long ago
+ * @param id the id of its host
+ * @param address the address on which the host listens
+ * @param group the number of the host's group
+ * @param startedMillis the Unix time at which the host's process started, in milliseconds; 0 for
+ *     long ago
  */
 public record EndpointEntry(
     String id,
@@ -21,6 +24,7 @@
   private static final String ZONE = "a";
   private static final double WEIGHT = 1;
 
+  /** Returns the endpoint in the JSON format of the discovery agent. */
   ObjectNode toJson() {
     return JsonNodeFactory.instance
         .objectNode()
@@ -28,13 +32,13 @@
         .put("addr", Loopback.format(address))
         .put("zone", ZONE)
         .put("cell", group)
-        .put("state", stateWord())
+        .put("state", formatState())
         .put("weight", WEIGHT)
         .put("started_ms", startedMillis)
-        .put("part", roleWord(isPrimary));
+        .put("part", formatRole(isPrimary));
   }
 
-  private String stateWord() {
+  private String formatState() {
     return switch (state) {
       case READY -> "Ready";
       case DRAINING -> "Terminating";
@@ -42,8 +46,8 @@
     };
   }
 
-  /** The word for a host's role, in the endpoint list and in a host's own messages. */
-  static String roleWord(boolean isPrimary) {
+  /** Returns a host's role as the endpoint list and the host's own messages write it. */
+  static String formatRole(boolean isPrimary) {
     return isPrimary ? "master" : "replica";
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/standin/Loopback.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/Loopback.java
@@ -12,30 +12,35 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 
-/** Addresses and client connections on the loopback interface. */
+/** Creates addresses and client connections on the loopback interface. */
 public final class Loopback {
   private static final String HOST = "127.0.0.1";
 
   private Loopback() {}
 
-  /** An address of any port, to bind to. */
+  /** Returns an address for binding to a port that the system chooses. */
   static InetSocketAddress anyPort() {
     return new InetSocketAddress(HOST, 0);
   }
 
-  /** An address whose port is free now; nothing keeps another process from taking it. */
+  /** Returns an address whose port is free now; it is not reserved for the caller. */
   public static InetSocketAddress freeAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
       return new InetSocketAddress(HOST, socket.getLocalPort());
     }
   }
 
-  /** The address as configurations and the endpoint list write it, {@code host:port}. */
+  /** Formats an address as {@code host:port} for configurations and the endpoint list. */
   public static String format(InetSocketAddress address) {
     return HOST + ":" + address.getPort();
   }
 
-  /** Connects a client of the database protocol; its handler gets {@link ProtocolMessage}s. */
+  /**
+   * Connects a client of the database protocol to a router.
+   *
+   * @param loop the event loop of the connection
+   * @param messageHandler receives the router's messages as {@link ProtocolMessage}s
+   */
   public static ChannelFuture connect(
       EventLoop loop, InetSocketAddress router, ChannelHandler messageHandler) {
     return new Bootstrap()
--- a/testbed/src/main/java/rushwood/testbed/standin/LoopbackListener.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/LoopbackListener.java
@@ -15,8 +15,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A listening socket on the loopback interface with its connections. It can be closed and opened
- * again and then has the same address; connections are reset as they are closed.
+ * A listening socket on the loopback interface and the connections that it accepted. It can be
+ * closed and reopened at the same address. Connections are closed with a TCP reset.
  */
 final class LoopbackListener {
   private static final int BACKLOG = 1024;
@@ -27,21 +27,31 @@
   private @Nullable Channel listener;
   private @Nullable InetSocketAddress address;
 
-  /** {@code initializer} sets up the pipeline of each accepted connection. */
+  /**
+   * Creates a listener that is not open yet.
+   *
+   * @param loop the event loop of the listening socket and its connections
+   * @param initializer sets up the pipeline of each accepted connection
+   */
   LoopbackListener(EventLoop loop, Consumer<Channel> initializer) {
     this.loop = loop;
     this.initializer = initializer;
     connections = new DefaultChannelGroup(loop);
   }
 
-  /** Opens it for the first time and waits until it listens; not on the loop. */
+  /**
+   * Opens the listener for the first time, waits until it listens and returns its address. Must not
+   * be called on the event loop.
+   */
   InetSocketAddress listen() throws InterruptedException {
     InetSocketAddress bound = (InetSocketAddress) open().sync().channel().localAddress();
     address = bound;
     return bound;
   }
 
-  /** Opens it, at the address that it had before if it had one. */
+  /**
+   * Opens the listener, at its earlier address if it had one; the future completes once it listens.
+   */
   ChannelFuture open() {
     ChannelFuture bound =
         new ServerBootstrap()
@@ -64,12 +74,16 @@
     return bound;
   }
 
-  /** Where it listens, or did before it was closed. */
+  /**
+   * Returns the address on which the listener listens or, when it is closed, listened.
+   *
+   * @throws NullPointerException if {@link #listen} has not returned yet
+   */
   InetSocketAddress address() {
-    return Objects.requireNonNull(address, "it has not been opened");
+    return Objects.requireNonNull(address, "the listener has not been opened");
   }
 
-  /** Resets the open connections and goes on listening. */
+  /** Resets the open connections and keeps listening. */
   void resetConnections() {
     connections.close();
   }
--- a/testbed/src/main/java/rushwood/testbed/standin/MessageDecoder.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/MessageDecoder.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Cuts a byte stream into messages of PostgreSQL's protocol 3. It shares no code with the router's
- * own reader, so that a fault of that one is not hidden by the same fault here. A message whose
- * length is invalid closes the connection.
+ * Decodes a byte stream into messages of PostgreSQL's protocol 3. It shares no code with the
+ * router's decoder, so that an error there is not hidden by the same error here. A message with an
+ * invalid length closes the connection.
  */
 public final class MessageDecoder extends ByteToMessageDecoder {
   private static final int LENGTH_BYTES = 4;
@@ -21,12 +21,12 @@
     this.expectStartup = expectStartup;
   }
 
-  /** A decoder for what a client sends: its first message has no type. */
+  /** Creates a decoder for a server: the first message from the client has no type byte. */
   public static MessageDecoder forServer() {
     return new MessageDecoder(true);
   }
 
-  /** A decoder for what a server sends. */
+  /** Creates a decoder for a client: all messages from the server have a type byte. */
   public static MessageDecoder forClient() {
     return new MessageDecoder(false);
   }
--- a/testbed/src/main/java/rushwood/testbed/standin/MessageEncoder.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/MessageEncoder.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the messages of PostgreSQL's protocol 3 that clients and stand-in hosts send. */
+/** Encodes the messages of PostgreSQL's protocol 3 that clients and stand-in hosts send. */
 public final class MessageEncoder {
   private static final int LENGTH_BYTES = 4;
   private static final char AUTHENTICATION = 'R';
@@ -20,45 +20,48 @@
     out.writeInt(LENGTH_BYTES + body.length()).writeCharSequence(body, StandardCharsets.ISO_8859_1);
   }
 
-  /** A client's first message: protocol 3.0, a user and a database. */
+  /** Writes a client's StartupMessage: protocol 3.0, a user and a database. */
   public static void writeStartup(ByteBuf out) {
     write(out, ProtocolMessage.STARTUP, "\0\3\0\0user\0client\0database\0core\0\0");
   }
 
-  /** A simple query. */
+  /** Writes a Query message with one statement. */
   public static void writeQuery(ByteBuf out, String statement) {
     write(out, ProtocolMessage.QUERY, statement + "\0");
   }
 
-  /** ReadyForQuery outside of a transaction. */
+  /** Writes ReadyForQuery with the status "not in a transaction". */
   public static void writeReadyForQuery(ByteBuf out) {
     write(out, ProtocolMessage.READY_FOR_QUERY, "I");
   }
 
-  /** A server's answer to the startup message: AuthenticationOk and ReadyForQuery. */
+  /** Writes a server's answer to the StartupMessage: AuthenticationOk and ReadyForQuery. */
   public static void writeAuthenticationOk(ByteBuf out) {
     write(out, AUTHENTICATION, "\0\0\0\0");
     writeReadyForQuery(out);
   }
 
-  /** ParameterStatus. */
+  /** Writes ParameterStatus. */
   public static void writeParameterStatus(ByteBuf out, String name, String value) {
     write(out, PARAMETER_STATUS, name + "\0" + value + "\0");
   }
 
-  /** ErrorResponse of severity ERROR. */
+  /** Writes ErrorResponse with the severity ERROR. */
   public static void writeError(ByteBuf out, String sqlState) {
     write(out, ProtocolMessage.ERROR_RESPONSE, "SERROR\0C" + sqlState + "\0Mno\0\0");
   }
 
-  /** A result of one row with one column of type bytea: its description, the row, completion. */
+  /**
+   * Writes a result of one row with one column of type bytea: RowDescription, DataRow and
+   * CommandComplete.
+   */
   public static void writeRow(ByteBuf out, String value) {
     write(out, ROW_DESCRIPTION, "\0\1val\0\0\0\0\0\0\0\0\0\0\21\377\377\377\377\377\377\0\0");
     write(out, ProtocolMessage.DATA_ROW, "\0\1" + encodeInt(value.length()) + value);
     write(out, COMMAND_COMPLETE, "SELECT 1\0");
   }
 
-  /** Four bytes in network order, each as a character. */
+  /** Returns the four bytes of an integer in network order, each as a character. */
   private static String encodeInt(int value) {
     return ""
         + (char) (value >> 24)
--- a/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
@@ -11,20 +11,21 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A router as the operator starts it: its jar in a process of its own, with its log in a file. */
+/** A router that runs from its jar in a process of its own and logs to a temporary file. */
 public final class RouterProcess implements AutoCloseable {
   /**
-   * What a router is started from.
+   * What a router process is started with.
    *
-   * @param flags flags of its virtual machine
-   * @param settings the operator's settings file; empty for the default
-   * @param cpus the cores that it may use, as {@code taskset -c} takes them; empty for all
+   * @param jar the router's jar
+   * @param flags the flags of the Java virtual machine
+   * @param settings the path of the operator's settings file; empty for the default
+   * @param cpus the list of cores that it may use, in the form of {@code taskset -c}; empty for all
    */
   public record Build(Path jar, List<String> flags, String settings, String cpus) {}
 
   private static final long START_TIMEOUT_MILLIS = 20_000; // a start takes a second or two
-  private static final long POLL_MILLIS = 20;
-  // A router serves on for three and a half seconds after SIGTERM.
+  private static final long POLL_INTERVAL_MILLIS = 20;
+  // After SIGTERM a router takes up to about 3.6 s to exit.
   private static final long STOP_TIMEOUT_MILLIS = 8_000;
 
   private final Process process;
@@ -33,9 +34,10 @@
   /**
    * Starts a router and waits until it accepts connections.
    *
-   * @param config the file that {@code NODE_CONFIG} names
-   * @param listen where that file has it listen
-   * @throws IOException with its log, if it does not accept connections in time
+   * @param config the router's configuration file
+   * @param listen the listen address in that file
+   * @throws IOException if the process cannot be created, or if it ends or accepts no connection in
+   *     time; then the message contains the router's log
    */
   public RouterProcess(Build build, Path config, InetSocketAddress listen)
       throws IOException, InterruptedException {
@@ -70,46 +72,48 @@
   private void awaitReady(InetSocketAddress listen) throws IOException, InterruptedException {
     for (long waited = 0;
         waited < START_TIMEOUT_MILLIS && process.isAlive();
-        waited += POLL_MILLIS) {
+        waited += POLL_INTERVAL_MILLIS) {
       try {
         new Socket(listen.getAddress(), listen.getPort()).close();
         return;
-      } catch (IOException notYet) {
-        Thread.sleep(POLL_MILLIS);
+      } catch (IOException notListening) {
+        Thread.sleep(POLL_INTERVAL_MILLIS);
       }
     }
     throw new IOException("the router did not start: " + Files.readString(log));
   }
 
-  /** CPU time so far, in nanoseconds. */
+  /** Returns the CPU time of the process in nanoseconds; 0 if it is not available. */
   public long cpuNanos() {
     return process.toHandle().info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
   }
 
-  /** What it has logged so far. */
+  /** Returns what the router has logged so far. */
   public String log() throws IOException {
     return Files.readString(log);
   }
 
   /**
-   * Sends it a signal, by its name without SIG.
+   * Sends the router a signal.
    *
-   * @throws IOException with its log, if it cannot be sent: the process has ended
+   * @param name the name of the signal without SIG
+   * @throws IOException if the signal cannot be sent because the process has ended; the message
+   *     contains the router's log
    */
   public void signal(String name) throws IOException, InterruptedException {
     String pid = Long.toString(process.pid());
     int exitCode = new ProcessBuilder("kill", "-" + name, pid).start().waitFor();
     if (exitCode != 0) {
-      throw new IOException("the router takes no SIG" + name + ", it has ended: " + log());
+      throw new IOException("cannot send SIG" + name + ", the router has ended: " + log());
     }
   }
 
-  /** Sends it SIGTERM and does not wait. */
+  /** Sends the router SIGTERM and returns without waiting for its end. */
   public void terminate() {
     process.destroy();
   }
 
-  /** Has it stop, by force if it takes too long, and returns its log. */
+  /** Stops the router with SIGTERM, kills it if that takes too long, and returns its log. */
   public String stop() throws IOException, InterruptedException {
     process.destroy();
     if (!process.waitFor(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
@@ -118,7 +122,7 @@
     return Files.readString(log);
   }
 
-  /** Kills it and deletes its log. */
+  /** Kills the router and deletes its log. */
   @Override
   public void close() throws IOException {
     process.destroyForcibly();
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinDiscovery.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinDiscovery.java
@@ -31,15 +31,16 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A discovery agent on a loopback address: it answers with the full endpoint list, and brings each
- * change on watches. Tests make it silent, unresponsive, offline, or have it write invalid lists.
- * All methods but {@link #listen} and {@link #close} are called on its event loop.
+ * A discovery agent on a loopback address. It answers requests with the full endpoint list and
+ * sends each change on watches. Tests can make it silent, unresponsive or offline, or have it send
+ * invalid lists. Once a router is connected, all methods except {@link #listen}, {@link #address}
+ * and {@link #close} must be called on the event loop.
  */
 public final class StandinDiscovery {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int HEARTBEAT_SECONDS = 2;
   private static final String HEARTBEAT = "\n";
-  private static final String WATCH_PARAMETER = "follow=1";
+  private static final String WATCH_PARAMETER = "follow=1"; // in a request that starts a watch
 
   private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
   private final EventLoop loop;
@@ -61,7 +62,10 @@
     channel.pipeline().addLast(new HttpServerCodec(), new RequestHandler());
   }
 
-  /** Starts listening and the watches' heartbeat, and waits until it listens. */
+  /**
+   * Starts listening and the heartbeat of the watches, and returns the address once it listens.
+   * Must not be called on the event loop.
+   */
   public InetSocketAddress listen() throws InterruptedException {
     InetSocketAddress address = listener.listen();
     loop.scheduleAtFixedRate(
@@ -69,27 +73,27 @@
     return address;
   }
 
-  /** Where it listens. */
+  /** Returns the address on which the agent listens, also while it is offline. */
   public InetSocketAddress address() {
     return listener.address();
   }
 
-  /** Closes its sockets. */
+  /** Closes the listening socket and all connections. */
   public void close() {
     listener.close();
   }
 
-  /** From now on lists and changes are rewritten before they are sent. */
+  /** Sets a function that rewrites each list and each change before it is sent. */
   public void rewriteResponses(UnaryOperator<String> rewriter) {
     this.rewriter = rewriter;
   }
 
-  /** From now on lists and changes are sent as they are. */
+  /** Sends lists and changes unmodified again. */
   public void stopRewriting() {
     rewriter = UnaryOperator.identity();
   }
 
-  /** Watches that are open now stay open and get nothing any more. */
+  /** Stops sending on the watches that are open now, without closing them. */
   public void muteWatches() {
     watches.clear();
   }
@@ -99,13 +103,16 @@
     listener.resetConnections();
   }
 
-  /** While unresponsive it accepts requests and never answers them. */
+  /**
+   * Sets whether the agent is unresponsive: it accepts requests without ever answering them, and is
+   * silent. Resetting it ends the silence too, also one that {@link #setSilent} began.
+   */
   public void setUnresponsive(boolean unresponsive) {
     this.unresponsive = unresponsive;
     silent = unresponsive;
   }
 
-  /** While offline it refuses connections; those that are open are reset. */
+  /** Sets whether the agent is offline: it refuses connections; the open ones are reset. */
   public void setOffline(boolean offline) {
     if (offline) {
       listener.close();
@@ -114,29 +121,36 @@
     }
   }
 
-  /** Sets the version of the list; the next change has the one after it. */
+  /** Sets the version of the list; the next change gets the version after it. */
   public void setVersion(int version) {
     this.version = version;
   }
 
-  /** While silent it sends nothing on watches; a later change shows the gap by its version. */
+  /**
+   * Sets whether the agent is silent: it sends nothing on watches. Changes still increment the
+   * version, so a router can detect from a later one that it missed some.
+   */
   public void setSilent(boolean silent) {
     this.silent = silent;
   }
 
-  /** Adds or replaces an endpoint, and tells the watches of it. */
+  /** Adds or replaces an endpoint and sends the change on the watches. */
   public void publish(EndpointEntry entry) {
     entries.put(entry.id(), entry);
     version++;
-    sendToWatches(rewriter.apply(listJson(false, List.of(entry))) + "\n");
+    sendToWatches(rewriter.apply(formatList(false, List.of(entry))) + "\n");
   }
 
-  /** The full list as JSON, not rewritten. */
+  /** Returns the full list as JSON, without rewriting. */
   public String fullList() {
-    return listJson(true, List.copyOf(entries.values()));
+    return formatList(true, List.copyOf(entries.values()));
   }
 
-  /** The same JSON over many lines, as some agents write it. */
+  /**
+   * Returns the JSON with indentation on many lines, as some agents send it.
+   *
+   * @throws IllegalArgumentException if the text is not JSON
+   */
   public static String indent(String json) {
     try {
       return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(MAPPER.readTree(json));
@@ -145,7 +159,7 @@
     }
   }
 
-  private String listJson(boolean full, List<EndpointEntry> listed) {
+  private String formatList(boolean full, List<EndpointEntry> listed) {
     ObjectNode list = JsonNodeFactory.instance.objectNode();
     list.put("version", version).put("full", full);
     ArrayNode servers = list.putArray("servers");
@@ -163,7 +177,7 @@
     return Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
   }
 
-  /** Answers HTTP requests for the full list, and begins watches. */
+  /** Answers HTTP requests for the full list and starts watches. */
   private final class RequestHandler extends SimpleChannelInboundHandler<Object> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, Object message) {
@@ -171,7 +185,7 @@
         return;
       }
       if (request.uri().contains(WATCH_PARAMETER)) {
-        beginWatch(context);
+        startWatch(context);
       } else {
         sendFullList(context);
       }
@@ -185,7 +199,7 @@
       context.writeAndFlush(response);
     }
 
-    private void beginWatch(ChannelHandlerContext context) {
+    private void startWatch(ChannelHandlerContext context) {
       DefaultHttpResponse response =
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
@@ -14,9 +14,10 @@
 import rushwood.testbed.model.TestbedRequestClass;
 
 /**
- * A database server on a loopback address: PostgreSQL's protocol 3 in front of a {@link HostModel}.
- * All stand-ins of an experiment run on one event loop, by one clock; everything here but {@link
- * #listen} and {@link #close} is called on it.
+ * A database server on a loopback address that speaks PostgreSQL's protocol 3 and behaves as a
+ * {@link HostModel} decides. All stand-ins of an experiment share one event loop and one clock.
+ * Once a router is connected, all methods except {@link #listen}, {@link #address} and {@link
+ * #close} must be called on the event loop.
  */
 public final class StandinHost {
   private static final int INITIAL_BUFFER_BYTES = 256;
@@ -33,10 +34,10 @@
   private long overloadedReplies;
 
   /**
-   * Creates it; it does not listen yet.
+   * Creates a host that does not listen yet.
    *
-   * @param clock the time in nanoseconds
-   * @param executionListener is told of each statement that was executed
+   * @param clock returns the time in nanoseconds; must never go back
+   * @param executionListener is called for each statement that was executed
    */
   public StandinHost(
       HostModel model, EventLoop loop, LongSupplier clock, Consumer<Statement> executionListener) {
@@ -52,59 +53,59 @@
     channel.pipeline().addLast(MessageDecoder.forServer(), new ConnectionHandler());
   }
 
-  /** How it behaves; used on the loop. */
+  /** Returns the model that decides how the host behaves. */
   public HostModel model() {
     return model;
   }
 
-  /** Where it listens, also after a crash. */
+  /** Returns the address on which the host listens, also after a crash. */
   public InetSocketAddress address() {
     return listener.address();
   }
 
-  /** Sets who is told of each statement as it arrives, whatever becomes of it. */
-  public void setArrivalListener(Consumer<Statement> listener) {
-    arrivalListener = listener;
+  /** Sets a listener that is called for each statement on arrival, whatever its outcome. */
+  public void setArrivalListener(Consumer<Statement> arrivalListener) {
+    this.arrivalListener = arrivalListener;
   }
 
-  /** Connections that were accepted so far. */
+  /** Returns the number of connections accepted so far. */
   public long acceptedConnections() {
     return acceptedConnections;
   }
 
-  /** Statements that arrived so far. */
+  /** Returns the number of statements that have arrived so far. */
   public long receivedRequests() {
     return receivedRequests;
   }
 
-  /** Statements that were refused so far because the queue was full. */
+  /** Returns the number of statements refused so far because the queue was full. */
   public long overloadedReplies() {
     return overloadedReplies;
   }
 
-  /** Starts listening, and waits until it does. */
+  /** Starts listening and waits until the host listens. Must not be called on the event loop. */
   public void listen() throws InterruptedException {
     listener.listen();
   }
 
-  /** Ends its process: connections are reset, new ones refused. */
+  /** Crashes the host's process: open connections are reset and new ones are refused. */
   public void crash() {
     model.crash();
     listener.close();
   }
 
-  /** Starts a new process at the same address. */
+  /** Starts a new process of the host at the same address. */
   public void restart() {
     model.restart(clock.getAsLong());
     listener.open();
   }
 
-  /** Closes its sockets. */
+  /** Closes the listening socket and all connections. */
   public void close() {
     listener.close();
   }
 
-  /** The protocol's server side on one connection. */
+  /** Handles the server side of the protocol on one connection. */
   private final class ConnectionHandler extends SimpleChannelInboundHandler<ProtocolMessage> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ProtocolMessage message) {
@@ -134,7 +135,7 @@
       switch (result.status()) {
         case NO_RESPONSE -> {
           if (!model.isUp()) {
-            crash(); // of overload
+            crash(); // the model crashed because of overload
           }
         }
         case OVERLOADED -> {
@@ -162,7 +163,7 @@
           : RequestKind.BOUNDED_READ;
     }
 
-    /** Answers an accepted statement, unless the process that accepted it has crashed meanwhile. */
+    /** Answers a statement, unless the process that accepted it has crashed in the meantime. */
     private void complete(ChannelHandlerContext context, Statement statement, int incarnation) {
       if (model.incarnation() != incarnation) {
         return;
@@ -179,16 +180,19 @@
       writeRoleAndReady(out);
     }
 
-    /** Position in seconds as x0, role as x1, as the settings' load report names them. */
+    /**
+     * Writes a load report with the names that the router's settings list: the position in seconds
+     * as x0, and x1, which is 1 on a primary and 0 on a replica.
+     */
     private void writeLoadReport(ByteBuf out) {
-      long position = model.position(clock.getAsLong()) / NANOS_PER_MILLI;
-      String seconds = position / 1000 + "." + String.format("%03d", position % 1000);
+      long positionMillis = model.position(clock.getAsLong()) / NANOS_PER_MILLI;
+      String seconds = positionMillis / 1000 + "." + String.format("%03d", positionMillis % 1000);
       MessageEncoder.writeRow(out, "x0=" + seconds + ",x1=" + (model.isPrimary() ? 1 : 0));
       MessageEncoder.writeReadyForQuery(out);
     }
 
     private void writeRoleAndReady(ByteBuf out) {
-      MessageEncoder.writeParameterStatus(out, "part", EndpointEntry.roleWord(model.isPrimary()));
+      MessageEncoder.writeParameterStatus(out, "part", EndpointEntry.formatRole(model.isPrimary()));
       MessageEncoder.writeParameterStatus(
           out, "caught_up_to", Long.toString(model.position(clock.getAsLong()) / NANOS_PER_MILLI));
       MessageEncoder.writeReadyForQuery(out);
--- a/testbed/src/main/java/rushwood/testbed/standin/Statement.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/Statement.java
@@ -5,36 +5,37 @@
 /**
  * A statement that reads or writes one key, with a comment of {@code name=value} pairs at its end.
  *
- * @param text the whole statement
+ * @param key the key that the statement reads or writes
+ * @param text the whole statement with its comment
  */
 public record Statement(boolean isWrite, String key, String text) {
   private static final String ID_FIELD = "id";
   private static final String CLASS_FIELD = "c";
   private static final String TENANT_FIELD = "t";
-  private static final String TIMEOUT_FIELD = "d"; // milliseconds
+  private static final String TIMEOUT_MILLIS_FIELD = "d";
   private static final String GROUP_FIELD = "cluster";
-  private static final String TENANT = "club"; // any: the router does not look at it
+  private static final String TENANT = "club"; // any value; the router ignores it
   private static final String COMMENT_START = "/* ";
   private static final String COMMENT_END = " */";
 
-  /** Reads a statement that {@link #format} made. */
+  /** Parses a statement that {@link #format} returned. */
   public static Statement parse(String text) {
     int keyStart = text.indexOf('\'') + 1;
     String key = text.substring(keyStart, text.indexOf('\'', keyStart));
     return new Statement(text.startsWith("INSERT"), key, text);
   }
 
-  /** The id of the client's try. */
+  /** Returns the id of the client's try; empty if the comment has none. */
   public String id() {
     return commentValue(ID_FIELD);
   }
 
-  /** The name of its request class; empty if it has none. */
+  /** Returns the name of the request class; empty if the comment has none. */
   String requestClassName() {
     return commentValue(CLASS_FIELD);
   }
 
-  /** The value of that name in the comment; empty if there is none. */
+  /** Returns the value of a name in the comment; empty if the comment does not have the name. */
   String commentValue(String name) {
     int commentStart = text.lastIndexOf(COMMENT_START) + COMMENT_START.length();
     String comment = text.substring(commentStart, text.length() - COMMENT_END.length());
@@ -47,9 +48,11 @@
   }
 
   /**
-   * The statement of a client's try.
+   * Formats the statement of a client's try.
    *
+   * @param id the id of the try, which is its request id at the router
    * @param timeoutMillis how long the client waits for the answer
+   * @param group the number of the group of hosts that has the key
    */
   public static String format(
       TestbedRequestClass requestClass, String key, String id, long timeoutMillis, int group) {
@@ -59,7 +62,7 @@
             ID_FIELD + "=" + id,
             CLASS_FIELD + "=" + requestClass.wireName(),
             TENANT_FIELD + "=" + TENANT,
-            TIMEOUT_FIELD + "=" + timeoutMillis,
+            TIMEOUT_MILLIS_FIELD + "=" + timeoutMillis,
             GROUP_FIELD + "=" + group);
     String statement =
         requestClass.isWrite()
--- a/testbed/src/main/java/rushwood/testbed/standin/package-info.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins on loopback: hosts that speak PostgreSQL's protocol 3, the discovery agent, and the
- * router as a process. Hosts and agents run on the event loop that they are given.
+ * Stand-ins on the loopback interface for hosts and the discovery agent, which run on an event loop
+ * of the caller, and the router as a process of its own.
  */
 @NullMarked
 package rushwood.testbed.standin;
--- a/testbed/src/test/java/rushwood/testbed/model/HostModelTest.java
+++ b/testbed/src/test/java/rushwood/testbed/model/HostModelTest.java
@@ -24,20 +24,20 @@
   }
 
   @Test
-  void requestsBeyondSlotsAndQueueAreRefusedUntilOneIsDone() {
-    long firstDone = Long.MAX_VALUE;
+  void requestsBeyondSlotsAndQueueAreRefusedUntilOneCompletes() {
+    long firstCompletion = Long.MAX_VALUE;
     for (int i = 0; i < SLOTS + QUEUE; i++) {
       HostModel.OfferResult result = primary.offer(0, RequestKind.WRITE);
       assertEquals(OfferStatus.ACCEPTED, result.status());
-      firstDone = Math.min(firstDone, result.completesAt());
+      firstCompletion = Math.min(firstCompletion, result.completesAt());
     }
     assertEquals(SLOTS + QUEUE, primary.activeRequests(0));
-    assertEquals(OfferStatus.OVERLOADED, offer(primary, firstDone - 1, RequestKind.WRITE));
-    assertEquals(OfferStatus.ACCEPTED, offer(primary, firstDone, RequestKind.WRITE));
+    assertEquals(OfferStatus.OVERLOADED, offer(primary, firstCompletion - 1, RequestKind.WRITE));
+    assertEquals(OfferStatus.ACCEPTED, offer(primary, firstCompletion, RequestKind.WRITE));
   }
 
   @Test
-  void replicaTakesOnlyReadsThatAllowItsLag() {
+  void replicaAcceptsOnlyReadsThatTolerateItsLag() {
     assertEquals(OfferStatus.NOT_PRIMARY, offer(replica, 0, RequestKind.WRITE));
     assertEquals(OfferStatus.REPLICA_LAGGING, offer(replica, 0, RequestKind.BOUNDED_READ));
     assertEquals(OfferStatus.ACCEPTED, offer(replica, 0, RequestKind.EVENTUAL_READ));
@@ -64,7 +64,7 @@
 
   @Test
   void restartedHostWarmsUpLinearly() {
-    assertEquals(1, primary.relativeSpeed(0), "warm from the beginning");
+    assertEquals(1, primary.relativeSpeed(0), "a new host is warm");
     primary.restart(SECOND);
     assertEquals(0.2, primary.relativeSpeed(SECOND), 1e-9);
     assertEquals(0.6, primary.relativeSpeed(SECOND + WARMUP / 2), 1e-9);
@@ -72,12 +72,15 @@
     assertEquals(1, primary.relativeSpeed(SECOND + 2 * WARMUP), 1e-9);
   }
 
-  /** A second's load of a cold host is 10 x 0.2 x 4 requests at most: the ninth is too much. */
+  /**
+   * Right after a restart the host withstands 10 x 0.2 x 4 = 8 requests within its window of one
+   * second; the ninth overloads it.
+   */
   @Test
-  void coldHostCrashesOfOverloadWhereItIsToldTo() {
-    for (boolean crashes : new boolean[] {false, true}) {
+  void coldHostCrashesOnOverloadIfSetTo() {
+    for (boolean crashOnOverload : new boolean[] {false, true}) {
       HostModel host = new HostModel(PARAMETERS, true, 3);
-      host.setCrashOnOverload(crashes);
+      host.setCrashOnOverload(crashOnOverload);
       host.restart(0);
       for (int i = 0; i < 8; i++) {
         host.offer(0, RequestKind.WRITE);
@@ -86,8 +89,8 @@
       assertTrue(host.isUp());
       host.offer(0, RequestKind.WRITE);
       assertEquals(9.0 / 8, host.worstColdOverload(), 1e-9);
-      assertEquals(crashes ? 1 : 0, host.overloadCrashes());
-      assertEquals(!crashes, host.isUp());
+      assertEquals(crashOnOverload ? 1 : 0, host.overloadCrashes());
+      assertEquals(!crashOnOverload, host.isUp());
     }
   }
 }
--- a/testbed/src/test/java/rushwood/testbed/model/TestbedRequestClassTest.java
+++ b/testbed/src/test/java/rushwood/testbed/model/TestbedRequestClassTest.java
@@ -8,7 +8,7 @@
 
 class TestbedRequestClassTest {
   @Test
-  void experimentFilesKeepTheirNames() {
+  void wireNamesAreThoseOfExperimentFiles() {
     List<String> names =
         Arrays.stream(TestbedRequestClass.values()).map(TestbedRequestClass::wireName).toList();
     assertEquals(List.of("pass", "pay", "any", "mark"), names);
--- a/testbed/src/test/java/rushwood/testbed/model/WriteLedgerTest.java
+++ b/testbed/src/test/java/rushwood/testbed/model/WriteLedgerTest.java
@@ -14,7 +14,7 @@
   }
 
   @Test
-  void writeThatRanOnceIsNoDuplicate() {
+  void writeThatRanOnceIsNotADuplicate() {
     ledger.recordExecution(1, "1-1");
     ledger.recordAnswer(1, true);
     ledger.recordAnswer(2, false);
@@ -22,14 +22,14 @@
   }
 
   @Test
-  void twoTriesThatRanAreADuplicatedWrite() {
+  void writeOfWhichTwoTriesRanIsDuplicated() {
     ledger.recordExecution(1, "1-1");
     ledger.recordExecution(1, "1-2");
     assertCounts(0, 1, 0);
   }
 
   @Test
-  void tryThatRanTwiceIsADuplicateOfBoth() {
+  void tryThatRanTwiceIsADuplicatedTryAndWrite() {
     ledger.recordExecution(1, "1-1");
     ledger.recordExecution(1, "1-1");
     assertCounts(1, 1, 0);
--- a/testbed/src/test/java/rushwood/testbed/standin/StandinDiscoveryTest.java
+++ b/testbed/src/test/java/rushwood/testbed/standin/StandinDiscoveryTest.java
@@ -12,13 +12,14 @@
 import rushwood.api.Endpoint;
 
 class StandinDiscoveryTest {
-  private final MultiThreadIoEventLoopGroup group =
+  private final MultiThreadIoEventLoopGroup eventLoopGroup =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final StandinDiscovery discovery = new StandinDiscovery((EventLoop) group.next());
+  private final StandinDiscovery discovery =
+      new StandinDiscovery((EventLoop) eventLoopGroup.next());
 
   @AfterEach
   void stop() {
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
   private void publish(String id, Endpoint.State state, long startedMillis, boolean isPrimary) {
@@ -26,9 +27,9 @@
     discovery.publish(new EndpointEntry(id, address, 1, state, startedMillis, isPrimary));
   }
 
-  /** Each publication counts the version up by one, from 1. */
+  /** The version starts at 1 and increases by one with each published endpoint. */
   @Test
-  void listInTheFormatOfTheAgents() {
+  void fullListHasTheFormatOfDiscoveryAgents() {
     publish("h0", Endpoint.State.READY, 0, true);
     publish("h1", Endpoint.State.DRAINING, 7, false);
     publish("h2", Endpoint.State.REMOVED, 0, false);
--- a/testbed/src/test/java/rushwood/testbed/standin/StatementTest.java
+++ b/testbed/src/test/java/rushwood/testbed/standin/StatementTest.java
@@ -9,7 +9,7 @@
 
 class StatementTest {
   @Test
-  void whatIsFormattedIsParsedBack() {
+  void parseReversesFormat() {
     Statement write =
         Statement.parse(
             Statement.format(TestbedRequestClass.NON_IDEMPOTENT_WRITE, "k7", "7-1", 300, 2));
@@ -19,16 +19,16 @@
     assertEquals("pay", write.requestClassName());
     assertEquals("300", write.commentValue("d"));
     assertEquals("2", write.commentValue("cluster"));
-    assertEquals("", write.commentValue("nothing"));
+    assertEquals("", write.commentValue("missing"));
     Statement read =
         Statement.parse(Statement.format(TestbedRequestClass.EVENTUAL_READ, "k8", "8-1", 1, 0));
     assertFalse(read.isWrite());
     assertEquals("k8", read.key());
   }
 
-  /** The forms that the router's parser takes. */
+  /** These are the forms that the router's parser accepts. */
   @Test
-  void textOfReadAndWrite() {
+  void formatsReadsAndWrites() {
     assertEquals(
         "SELECT val FROM state WHERE uid = 'k8' /* id=8-1,c=any,t=club,d=1,cluster=0 */",
         Statement.format(TestbedRequestClass.EVENTUAL_READ, "k8", "8-1", 1, 0));
