--- a/testbed/src/main/java/rushwood/testbed/load/Experiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/Experiment.java
@@ -49,7 +49,9 @@
     events =
         events == null
             ? List.of()
-            : events.stream().sorted(Comparator.comparingDouble(ScheduledEvent::seconds)).toList();
+            : events.stream()
+                .sorted(Comparator.comparingDouble(ScheduledEvent::atSeconds))
+                .toList();
   }
 
   /** Nanoseconds for seconds, rounded. */
--- a/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
@@ -7,11 +7,11 @@
 /**
  * Something that happens during an experiment.
  *
- * @param seconds when, from the experiment's start
+ * @param atSeconds when, from the experiment's start
  * @param host the id of the host that it happens to; none for an event without host
  */
 public record ScheduledEvent(
-    @JsonProperty("at") double seconds, @JsonProperty("what") Type type, @Nullable String host) {
+    @JsonProperty("at") double atSeconds, @JsonProperty("what") Type type, @Nullable String host) {
 
   /** What may happen. */
   public enum Type {
@@ -63,8 +63,8 @@
   }
 
   /** When it happens, in nanoseconds from the experiment's start. */
-  public long nanos() {
-    return Experiment.nanos(seconds);
+  public long atNanos() {
+    return Experiment.nanos(atSeconds);
   }
 
   private String requireHost() {
--- a/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
@@ -128,7 +128,7 @@
     for (ScheduledEvent event : experiment.events()) {
       loop.schedule(
           () -> event.applyTo(handler),
-          startNanos + event.nanos() - clock.getAsLong(),
+          startNanos + event.atNanos() - clock.getAsLong(),
           TimeUnit.NANOSECONDS);
     }
     loop.scheduleAtFixedRate(
--- a/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
@@ -72,7 +72,7 @@
     scheduleClients();
     EventHandler handler = new EventHandler();
     for (ScheduledEvent event : experiment.events()) {
-      events.scheduleAtElapsed(event.nanos(), () -> event.applyTo(handler));
+      events.scheduleAtElapsed(event.atNanos(), () -> event.applyTo(handler));
     }
     events.scheduleAtElapsed(0, this::sample);
     boolean hasNext = true;
