--- a/testbed/src/main/java/rushwood/testbed/load/ClientConnection.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ClientConnection.java
@@ -10,22 +10,27 @@
 import rushwood.testbed.standin.MessageEncoder;
 import rushwood.testbed.standin.ProtocolMessage;
 
-/** One connection of a client to the router. Used on the event loop only. */
+/** A client's connection to the router. Used on the event loop only. */
 final class ClientConnection {
   private static final int QUERY_BUFFER_BYTES = 256;
 
-  /** Is told what becomes of a connection. */
+  /** Receives the events of a connection, on the event loop. */
   interface Listener {
-    /** It is open, and nothing has been sent yet. */
+    /** Called when the connection is open; nothing has been sent on it yet. */
     void connectionOpened(ClientConnection connection);
 
-    /** It could not be opened. */
+    /** Called when the connection could not be opened. */
     void connectionFailed();
 
-    /** A row or an error has come. */
+    /** Called for each data row and error response. */
     void answerReceived(ClientConnection connection, ProtocolMessage answer);
 
-    /** It is closed; {@code wasUsable} is the value of {@link #isUsable} until then. */
+    /**
+     * Called when an open connection has been closed by either side.
+     *
+     * @param wasUsable what {@link ClientConnection#isUsable} returned just before; false if the
+     *     client closed the connection
+     */
     void connectionClosed(ClientConnection connection, boolean wasUsable);
   }
 
@@ -34,31 +39,34 @@
   private boolean usable;
   private boolean querySent;
 
-  /** Begins to connect. */
-  ClientConnection(EventLoop loop, InetSocketAddress router, Listener listener) {
+  /** Starts connecting. */
+  ClientConnection(EventLoop loop, InetSocketAddress routerAddress, Listener listener) {
     this.listener = listener;
     channel =
-        Loopback.connect(loop, router, new Handler())
+        Loopback.connect(loop, routerAddress, new MessageHandler())
             .addListener(
-                connecting -> {
-                  if (!connecting.isSuccess()) {
+                future -> {
+                  if (!future.isSuccess()) {
                     listener.connectionFailed();
                   }
                 })
             .channel();
   }
 
-  /** Whether a query was sent and another one can be: no end of the connection is known. */
+  /**
+   * Returns whether a query has been sent and another one can be: neither side has closed the
+   * connection, and the router has not announced that it will.
+   */
   boolean isUsable() {
     return usable;
   }
 
-  /** Whether a query was sent, so that the router may have it. */
+  /** Returns whether a query has been sent, which the router may have received. */
   boolean hasSentQuery() {
     return querySent;
   }
 
-  /** Sends a statement, the first one with the startup message before it. */
+  /** Sends a statement; the startup message precedes the first one. */
   void send(String statement) {
     ByteBuf out = channel.alloc().buffer(QUERY_BUFFER_BYTES);
     if (!usable) {
@@ -70,7 +78,7 @@
     channel.writeAndFlush(out);
   }
 
-  /** The router will end it: nothing more is to be sent. */
+  /** Records that the router is about to close the connection; nothing more may be sent. */
   void markUnusable() {
     usable = false;
   }
@@ -80,7 +88,7 @@
     channel.close();
   }
 
-  private final class Handler extends SimpleChannelInboundHandler<ProtocolMessage> {
+  private final class MessageHandler extends SimpleChannelInboundHandler<ProtocolMessage> {
     @Override
     public void channelActive(ChannelHandlerContext context) {
       listener.connectionOpened(ClientConnection.this);
--- a/testbed/src/main/java/rushwood/testbed/load/ClientPopulation.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ClientPopulation.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Clients of one kind on sockets, each with one request and as many tries as {@link PopulationSpec}
- * allows. Used on the event loop only, but for {@link #unfinished}.
+ * The clients of one {@link PopulationSpec} in an experiment on sockets. All methods but {@link
+ * #unfinished} are called on the event loop.
  */
 final class ClientPopulation {
   private final PopulationSpec spec;
@@ -13,7 +13,13 @@
   private final PopulationCounts counts;
   private final SplittableRandom random;
 
-  /** Client numbers begin at {@code firstClientNumber}; none is used twice in an experiment. */
+  /**
+   * Creates the population.
+   *
+   * @param firstClientNumber the number of its first client, from which the others are numbered
+   *     consecutively; client numbers are unique within an experiment
+   * @param seed the seed of the random numbers that its clients share
+   */
   ClientPopulation(PopulationSpec spec, int firstClientNumber, long seed, LoadContext context) {
     this.spec = spec;
     this.firstClientNumber = firstClientNumber;
@@ -30,12 +36,16 @@
     }
   }
 
-  /** Clients that have neither been served nor given up. */
+  /** Returns the number of clients that have not finished; may be called by any thread. */
   int unfinished() {
     return counts.unfinished();
   }
 
-  /** Records the figures; the index is that of the population in the experiment's file. */
+  /**
+   * Records the population's figures in the experiment's result.
+   *
+   * @param populationIndex the index of the population in the experiment file
+   */
   void reportFigures(int populationIndex) {
     counts.reportTo(context.result(), populationIndex);
   }
--- a/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
@@ -20,58 +20,68 @@
 /** One router of a {@link RouterCluster}, with its own discovery agent and its own clients. */
 public final class ClusterMember implements AutoCloseable {
   private static final int MAX_SOCKETS = 512;
-  private static final List<String> FLAGS =
+  private static final List<String> JVM_FLAGS =
       List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m");
 
-  private final int number;
+  private final int index;
   private final RouterProcess.Build build;
   private final ObjectNode settings;
   private final Path configFile;
   private final InetSocketAddress listen;
   private final StandinDiscovery discovery;
   private final SteadyLoad load;
-  private final Map<String, Long> lastRequestAt = new HashMap<>();
-  private final Map<String, Long> requestsSent = new HashMap<>();
+  private final Map<String, Long> lastRequestNanosByHost = new HashMap<>();
+  private final Map<String, Long> requestsByHost = new HashMap<>();
   private @Nullable RouterProcess process;
 
-  /** Creates it with a running agent; its router and its clients are started apart. */
-  ClusterMember(int number, EventLoop loop, Path jar, ObjectNode settings, Path folder)
+  /**
+   * Creates the member and starts its discovery agent; the router and the clients are started
+   * separately.
+   *
+   * @param index the member's index in its cluster
+   * @param directory where the router's configuration file is written
+   */
+  ClusterMember(int index, EventLoop loop, Path jar, ObjectNode settings, Path directory)
       throws IOException, InterruptedException {
-    this.number = number;
+    this.index = index;
     this.settings = settings;
-    build = new RouterProcess.Build(jar, FLAGS, "", "");
-    configFile = folder.resolve("r" + number + ".json");
+    build = new RouterProcess.Build(jar, JVM_FLAGS, "", "");
+    configFile = directory.resolve("r" + index + ".json");
     listen = Loopback.freeAddress();
     discovery = new StandinDiscovery(loop);
     discovery.listen();
-    load = new SteadyLoad("r" + number + "-", loop, listen, TestbedRequestClass.EVENTUAL_READ);
+    load = new SteadyLoad("r" + index + "-", loop, listen, TestbedRequestClass.EVENTUAL_READ);
   }
 
-  /** The number of the member whose load made a request, from the request's id. */
-  static int numberFromRequestId(String requestId) {
+  /** Returns the index of the member whose clients sent the request with the given id. */
+  static int indexFromRequestId(String requestId) {
     return Integer.parseInt(requestId.substring(1, requestId.indexOf('-')));
   }
 
-  /** Its agent; used on the cluster's loop. */
+  /** Returns the member's discovery agent, which is used on the cluster's event loop. */
   public StandinDiscovery discovery() {
     return discovery;
   }
 
-  /** Its clients; used on the cluster's loop. */
+  /** Returns the member's clients, which are used on the cluster's event loop. */
   public SteadyLoad load() {
     return load;
   }
 
   /**
-   * Its router, as last started.
+   * Returns the router process that was started last.
    *
-   * @throws NullPointerException if it was never started
+   * @throws NullPointerException if none has been started
    */
   public RouterProcess process() {
     return Objects.requireNonNull(process, "the router has not been started");
   }
 
-  /** Starts its router with that list as the one held from before; returns once it serves. */
+  /**
+   * Starts the router, after killing an earlier one, and returns once it accepts connections.
+   *
+   * @param knownEndpoints the endpoint list, in JSON, that the router knows from an earlier run
+   */
   public void start(String knownEndpoints) throws IOException, InterruptedException {
     ObjectNode configuration = configuration(discovery.address());
     configuration.putRawValue("known", new RawValue(knownEndpoints));
@@ -82,33 +92,42 @@
     process = new RouterProcess(build, configFile, listen);
   }
 
-  /** Writes its configuration with another agent; the router reads it at its next SIGHUP. */
+  /**
+   * Writes a configuration with the address of another discovery agent; the router reads it on its
+   * next SIGHUP.
+   */
   public void configureDiscovery(InetSocketAddress discoveryAddress) throws IOException {
     Files.writeString(configFile, configuration(discoveryAddress).toString());
   }
 
   private ObjectNode configuration(InetSocketAddress discoveryAddress) {
     return RouterSettings.configuration(
-        "r" + number, listen, discoveryAddress, number + 1, MAX_SOCKETS, settings);
+        "r" + index, listen, discoveryAddress, index + 1, MAX_SOCKETS, settings);
   }
 
-  /** A host has got a request from its router; on the cluster's loop. */
+  /** Records that a host has received a request from the router; on the cluster's event loop. */
   void recordRequest(String host, long now) {
-    lastRequestAt.put(host, now);
-    requestsSent.merge(host, 1L, Long::sum);
+    lastRequestNanosByHost.put(host, now);
+    requestsByHost.merge(host, 1L, Long::sum);
   }
 
-  /** When its router last sent to a host, on the clock of {@link RouterCluster#now()}; 0: never. */
-  public long lastRequestAt(String host) {
-    return lastRequestAt.getOrDefault(host, 0L);
+  /**
+   * Returns when a host last received a request from the router, on the clock of {@link
+   * RouterCluster#now()}; 0 if it never has. Called on the cluster's event loop.
+   */
+  public long lastRequestNanos(String host) {
+    return lastRequestNanosByHost.getOrDefault(host, 0L);
   }
 
-  /** How many requests its router sent to a host. */
-  public long requestsSent(String host) {
-    return requestsSent.getOrDefault(host, 0L);
+  /**
+   * Returns how many requests a host has received from the router. Called on the cluster's event
+   * loop.
+   */
+  public long requestsReceivedBy(String host) {
+    return requestsByHost.getOrDefault(host, 0L);
   }
 
-  /** Kills its router, closes its agent and deletes its files. */
+  /** Kills the router, closes the discovery agent and deletes their files. */
   @Override
   public void close() throws IOException {
     if (process != null) {
--- a/testbed/src/main/java/rushwood/testbed/load/Experiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/Experiment.java
@@ -19,13 +19,15 @@
 import rushwood.testbed.model.HostModel;
 
 /**
- * An experiment: hosts, clients, and what happens to the hosts while the clients come. Read from a
- * JSON file, whose keys are described by {@code experiment.schema.json}.
+ * An experiment: hosts, clients, and the events that affect hosts, discovery or the router while
+ * the clients arrive. Read from a JSON file with the schema {@code experiment.schema.json}.
  *
- * @param durationSeconds when it ends at the latest
- * @param maxSockets the sockets that a router may use
- * @param settings settings of the router that differ from {@link RouterSettings}
- * @param events in order of their times
+ * @param seed the seed of all random numbers of hosts, clients and routers
+ * @param durationSeconds when the experiment ends at the latest
+ * @param maxSockets the number of sockets that a router may use
+ * @param routerCount the number of routers; an experiment on sockets always runs one
+ * @param settings router settings that replace those of {@link RouterSettings} of the same name
+ * @param events the events, in order of their times
  */
 public record Experiment(
     String name,
@@ -38,10 +40,10 @@
     List<ScheduledEvent> events,
     @JsonProperty("clients") List<PopulationSpec> populations) {
   private static final int DEFAULT_MAX_SOCKETS = 8000;
-  private static final String SCHEMA = "/experiment.schema.json";
+  private static final String SCHEMA_RESOURCE = "/experiment.schema.json";
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** Fills in what the file may leave out. */
+  /** Replaces optional values that are missing by their defaults, and sorts the events by time. */
   public Experiment {
     maxSockets = maxSockets == null ? DEFAULT_MAX_SOCKETS : maxSockets;
     routerCount = routerCount == null ? 1 : routerCount;
@@ -54,23 +56,26 @@
                 .toList();
   }
 
-  /** Nanoseconds for seconds, rounded. */
-  static long nanos(double seconds) {
+  /** Converts seconds to nanoseconds, rounded to the nearest integer. */
+  static long secondsToNanos(double seconds) {
     return Math.round(seconds * 1e9);
   }
 
-  /** When it ends at the latest, in nanoseconds from its start. */
+  /** Returns the latest end of the experiment, in nanoseconds from its start. */
   public long durationNanos() {
-    return nanos(durationSeconds);
+    return secondsToNanos(durationSeconds);
   }
 
-  /** The same with that many routers. */
+  /** Returns a copy of this experiment with the given number of routers. */
   public Experiment withRouters(int count) {
     return new Experiment(
         name, seed, durationSeconds, maxSockets, count, settings, hosts, events, populations);
   }
 
-  /** The same with so many times the clients, and hosts that bear so many times the load. */
+  /**
+   * Returns a copy with {@code factor} times as many clients and with hosts of {@code factor} times
+   * the capacity.
+   */
   public Experiment scaledBy(int factor) {
     return new Experiment(
         name,
@@ -84,7 +89,10 @@
         populations.stream().map(population -> population.scaledBy(factor)).toList());
   }
 
-  /** The model of the host at that index; its random numbers are the experiment's and its own. */
+  /**
+   * Creates the model of the host at the given index, with a seed that is derived from the
+   * experiment's seed and the index.
+   */
   public HostModel newHostModel(int hostIndex) {
     HostSpec host = hosts.get(hostIndex);
     HostModel model = new HostModel(host.parameters(), host.primary(), seed * 31 + hostIndex);
@@ -92,7 +100,11 @@
     return model;
   }
 
-  /** What a document violates of a JSON schema, a line each and sorted; empty if it is valid. */
+  /**
+   * Validates a document against a JSON schema.
+   *
+   * @return a message for each violation, sorted; empty if the document is valid
+   */
   public static List<String> violations(JsonNode document, InputStream schemaStream) {
     JsonSchema schema =
         JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(schemaStream);
@@ -100,27 +112,27 @@
   }
 
   private static List<String> violations(JsonNode document) {
-    try (InputStream schema = Experiment.class.getResourceAsStream(SCHEMA)) {
+    try (InputStream schema = Experiment.class.getResourceAsStream(SCHEMA_RESOURCE)) {
       return violations(document, schema);
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // a resource of this jar
+      throw new UncheckedIOException(e); // not expected of a resource of this jar
     }
   }
 
   /**
-   * Reads and checks a file.
+   * Reads and validates an experiment file.
    *
-   * @throws InvalidExperimentException if it is no experiment
-   * @throws IOException if it cannot be read
+   * @throws InvalidExperimentException if the file is not a valid experiment
+   * @throws IOException if the file cannot be read
    */
   public static Experiment read(Path file) throws IOException {
     return parse(Files.readString(file));
   }
 
   /**
-   * Reads and checks a document.
+   * Parses and validates the text of an experiment file.
    *
-   * @throws InvalidExperimentException if it is no experiment
+   * @throws InvalidExperimentException if the text is not a valid experiment
    */
   public static Experiment parse(String json) throws InvalidExperimentException {
     try {
@@ -131,7 +143,7 @@
       }
       return MAPPER.treeToValue(document, Experiment.class);
     } catch (JsonProcessingException e) {
-      throw new InvalidExperimentException("no JSON: " + e.getOriginalMessage(), e);
+      throw new InvalidExperimentException("not valid JSON: " + e.getOriginalMessage(), e);
     }
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/load/ExperimentHosts.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ExperimentHosts.java
@@ -15,8 +15,8 @@
 import rushwood.testbed.standin.Statement;
 
 /**
- * The hosts of an experiment on sockets, and what its discovery agent lists of them. All but {@link
- * #start} and {@link #close} is called on the event loop.
+ * The stand-in hosts of an experiment on sockets, and their publication by its discovery agent. All
+ * methods but {@link #start} and {@link #close} are called on the event loop.
  */
 final class ExperimentHosts {
   private final Experiment experiment;
@@ -28,7 +28,12 @@
     this.discovery = discovery;
   }
 
-  /** Starts all hosts and publishes them, and waits until they listen. */
+  /**
+   * Starts and publishes all hosts, and waits until they listen.
+   *
+   * @param clock the time in nanoseconds
+   * @param executionListener called with each statement that a host has executed
+   */
   void start(EventLoop loop, LongSupplier clock, Consumer<Statement> executionListener)
       throws InterruptedException {
     for (int i = 0; i < experiment.hosts().size(); i++) {
@@ -42,15 +47,15 @@
   }
 
   /**
-   * The host with that id.
+   * Returns the host with the given id.
    *
    * @throws NullPointerException if the experiment has no such host
    */
   StandinHost get(String id) {
-    return Objects.requireNonNull(hosts.get(id), () -> "no host " + id);
+    return Objects.requireNonNull(hosts.get(id), () -> "the experiment has no host " + id);
   }
 
-  /** Makes a host the primary of its group, and the group's others replicas. */
+  /** Makes a host the primary of its group, and all other hosts of the group replicas. */
   void promote(String id) {
     int group = groupOf(id);
     for (HostSpec spec : experiment.hosts()) {
@@ -68,7 +73,7 @@
         .group();
   }
 
-  /** Has discovery list all hosts with their present roles. */
+  /** Publishes all hosts with their current roles. */
   void publish() {
     experiment.hosts().forEach(spec -> publish(spec, get(spec.id())));
   }
@@ -84,7 +89,7 @@
             host.model().isPrimary()));
   }
 
-  /** Adds the state of every host to its time series. */
+  /** Adds the current state of every host to the host's time series. */
   void sample(ExperimentResult result, long elapsedNanos, long now) {
     hosts.forEach((id, host) -> sample(result, elapsedNanos, id, host.model(), now));
   }
--- a/testbed/src/main/java/rushwood/testbed/load/ExperimentResult.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ExperimentResult.java
@@ -7,16 +7,16 @@
 import org.HdrHistogram.Histogram;
 import rushwood.testbed.model.WriteLedger;
 
-/** The result of an experiment: figures, the router's counters, and values over time. */
+/** The result of an experiment: figures, the routers' counters, and time series. */
 public final class ExperimentResult {
-  /** The length of a time series' step. */
+  /** The length of a step of a time series. */
   public static final double STEP_SECONDS = 0.1;
 
   private static final double[] REPORTED_PERCENTILES = {50, 95, 99, 100};
   private static final long MAX_COMPLETION_MICROS = 120_000_000L;
-  private static final int COMPLETION_DIGITS = 3;
+  private static final int COMPLETION_SIGNIFICANT_DIGITS = 3;
 
-  /** Sums over time, one for each step. */
+  /** A sum for each time step of {@link #STEP_SECONDS}. */
   public static final class TimeSeries {
     private final List<Double> values = new ArrayList<>();
 
@@ -27,7 +27,7 @@
       values.set(step, values.get(step) + value);
     }
 
-    /** The sum of each step, up to the last one with a value. */
+    /** Returns the sum of each step, up to the last step with a value. */
     public List<Double> values() {
       return values;
     }
@@ -38,59 +38,64 @@
   private final Map<String, TimeSeries> timeSeries = new LinkedHashMap<>();
   private final Map<String, Long> counters = new LinkedHashMap<>();
   private final Histogram completionMicros =
-      new Histogram(MAX_COMPLETION_MICROS, COMPLETION_DIGITS);
+      new Histogram(MAX_COMPLETION_MICROS, COMPLETION_SIGNIFICANT_DIGITS);
 
-  /** A result of the experiment of that name, still empty. */
+  /** Creates an empty result for the experiment of the given name. */
   public ExperimentResult(String name) {
     this.name = name;
   }
 
-  /** The experiment's name. */
+  /** Returns the experiment's name. */
   public String name() {
     return name;
   }
 
-  /** Figures by name, in the order of their recording. */
+  /** Returns the figures by name, in the order in which they were recorded. */
   public Map<String, Double> figures() {
     return figures;
   }
 
-  /** Time series by name, in the order of their first values. */
+  /** Returns the time series by name, in the order of their first values. */
   public Map<String, TimeSeries> timeSeries() {
     return timeSeries;
   }
 
-  /** The router's counters, as it logged them at its end. */
+  /** Returns the counters from the routers' logs by name; empty if none were added. */
   public Map<String, Long> counters() {
     return counters;
   }
 
-  /** Records a figure. */
+  /** Records a figure, which replaces an earlier one of the same name. */
   public void recordFigure(String name, double value) {
     figures.put(name, value);
   }
 
-  /** Records how many tries and writes ran more than once. */
+  /** Records how many tries and how many writes were executed more than once. */
   public void recordDuplicates(WriteLedger ledger) {
     recordFigure(ReportNames.DUPLICATED_TRIES, ledger.duplicatedTries());
     recordFigure(ReportNames.DUPLICATED_WRITES, ledger.duplicatedWrites());
   }
 
-  /** Adds to a series at a time, in nanoseconds from the experiment's start. */
+  /**
+   * Adds a value to a time series, which is created if it does not exist.
+   *
+   * @param elapsedNanos the time since the experiment's start; negative values count as 0
+   */
   public void addToSeries(String series, long elapsedNanos, double value) {
     timeSeries
         .computeIfAbsent(series, newSeries -> new TimeSeries())
         .add((int) Math.max(0, elapsedNanos / (STEP_SECONDS * 1e9)), value);
   }
 
-  /** A client was served that long after its arrival. */
-  public void recordCompletion(long nanos) {
+  /** Records the time from a client's arrival to its success. */
+  public void recordCompletion(long completionNanos) {
     completionMicros.recordValue(
-        Math.min(completionMicros.getHighestTrackableValue(), Math.max(0, nanos / 1000)));
+        Math.min(completionMicros.getHighestTrackableValue(), Math.max(0, completionNanos / 1000)));
   }
 
   /**
-   * Records percentiles of the times from arrival to service, in seconds; NaN if none was served.
+   * Records percentiles of the times from the clients' arrival to their success, in seconds; NaN if
+   * no client succeeded.
    */
   public void recordCompletionPercentiles() {
     for (double percentile : REPORTED_PERCENTILES) {
@@ -104,8 +109,8 @@
         : completionMicros.getValueAtPercentile(percentile) / 1e6;
   }
 
-  /** Adds the counters that a router logged as it stopped. */
-  public void readCounters(String log) {
+  /** Adds the counters in the log of a stopped router to {@link #counters}. */
+  public void addLoggedCounters(String log) {
     RouterCounters.parse(log).forEach((name, value) -> counters.merge(name, value, Long::sum));
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/load/HostSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/HostSpec.java
@@ -6,15 +6,18 @@
 /**
  * A host of an experiment.
  *
- * @param rate requests a second once it is warm
- * @param slots requests that it works on at once
- * @param queue requests that may wait for a slot
- * @param coldStartSpeed share of its warm speed right after a restart
- * @param warmupSeconds time from a restart until it is warm
- * @param overloadMultiple how many times its present speed it bears while it warms up
- * @param overloadWindowSeconds over which time that is counted
- * @param lagSeconds how far it is behind the primary as a replica
- * @param crashesOnOverload whether it crashes when it gets more than it bears
+ * @param group the number of the group that the host belongs to
+ * @param primary whether the host starts as the primary of its group
+ * @param rate requests per second that the host serves when warm, over all slots
+ * @param slots number of requests that the host processes concurrently
+ * @param queue number of requests that may wait for a slot
+ * @param coldStartSpeed speed right after a restart, as a share of the warm speed
+ * @param warmupSeconds time from a restart until the host is warm
+ * @param overloadMultiple load above which a host that warms up is overloaded, as a multiple of its
+ *     current speed
+ * @param overloadWindowSeconds time window over which that load is measured; 0 to not measure it
+ * @param lagSeconds replication lag while the host is a replica
+ * @param crashesOnOverload whether the host crashes when it is overloaded while it warms up
  */
 public record HostSpec(
     String id,
@@ -36,7 +39,7 @@
   private static final double DEFAULT_OVERLOAD_MULTIPLE = 4;
   private static final double DEFAULT_OVERLOAD_WINDOW_SECONDS = 1;
 
-  /** Fills in what the file may leave out. */
+  /** Replaces optional values that are missing by their defaults. */
   public HostSpec {
     slots = slots == null ? DEFAULT_SLOTS : slots;
     queue = queue == null ? DEFAULT_QUEUE : queue;
@@ -47,20 +50,20 @@
         overloadWindowSeconds == null ? DEFAULT_OVERLOAD_WINDOW_SECONDS : overloadWindowSeconds;
   }
 
-  /** The capacity of its model. */
+  /** Returns the parameters of the host's model. */
   HostModel.Parameters parameters() {
     return new HostModel.Parameters(
         rate,
         slots,
         queue,
         coldStartSpeed,
-        Experiment.nanos(warmupSeconds),
+        Experiment.secondsToNanos(warmupSeconds),
         overloadMultiple,
-        Experiment.nanos(overloadWindowSeconds),
-        Experiment.nanos(lagSeconds));
+        Experiment.secondsToNanos(overloadWindowSeconds),
+        Experiment.secondsToNanos(lagSeconds));
   }
 
-  /** The same, so many times as fast and with so many times the slots and the queue. */
+  /** Returns a copy with rate, slots and queue multiplied by {@code factor}. */
   HostSpec scaledBy(int factor) {
     return new HostSpec(
         id,
--- a/testbed/src/main/java/rushwood/testbed/load/InvalidExperimentException.java
+++ b/testbed/src/main/java/rushwood/testbed/load/InvalidExperimentException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** An experiment's file is invalid; the message is one line that names the field and the reason. */
+/**
+ * Thrown when an experiment file is invalid; the message is one line that names the invalid field
+ * or the syntax error.
+ */
 public final class InvalidExperimentException extends IOException {
   private static final long serialVersionUID = 1;
 
--- a/testbed/src/main/java/rushwood/testbed/load/LoadContext.java
+++ b/testbed/src/main/java/rushwood/testbed/load/LoadContext.java
@@ -7,26 +7,28 @@
 import rushwood.testbed.model.WriteLedger;
 
 /**
- * What all clients of an experiment on sockets share.
+ * The state that all clients of an experiment on sockets share.
  *
- * @param loop runs all of them
+ * @param loop the event loop on which the clients run
  * @param clock the time in nanoseconds
  * @param startNanos the experiment's start on that clock
- * @param router where they connect to
+ * @param routerAddress the address that the clients connect to
+ * @param result where the clients record time series and completions
+ * @param ledger where the clients record the answers to writes
  */
 record LoadContext(
     EventLoop loop,
     LongSupplier clock,
     long startNanos,
-    InetSocketAddress router,
+    InetSocketAddress routerAddress,
     ExperimentResult result,
     WriteLedger ledger) {
   long now() {
     return clock.getAsLong();
   }
 
-  /** Adds 1 to a time series at the present. */
-  void addToSeries(String series) {
+  /** Adds 1 to a time series at the current time. */
+  void incrementSeries(String series) {
     result.addToSeries(series, now() - startNanos, 1);
   }
 
@@ -34,7 +36,7 @@
     loop.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Schedules a task at that time from the experiment's start. */
+  /** Schedules a task at a time that is given in nanoseconds from the experiment's start. */
   void scheduleAtElapsed(long elapsedNanos, Runnable task) {
     scheduleAfter(startNanos + elapsedNanos - now(), task);
   }
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -40,8 +40,8 @@
 import rushwood.testbed.model.TestbedRequestClass;
 
 /**
- * What overload control costs a request: the routing policy behind it against the policy alone, and
- * its two parts that work on every request. Nanoseconds a request; run by JMH's main class.
+ * Measures what overload control costs per request: the routing policy with overload control, the
+ * policy alone, and two parts of overload control by themselves. Run by JMH's main class.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -55,7 +55,7 @@
   private static final HostId HOST = new HostId("a");
   private static final GroupId GROUP = new GroupId(1);
 
-  // The sketch holds fewer fingerprints than cells, as in a router.
+  // There are fewer distinct fingerprints than cells, as in a router.
   private static final int SKETCH_CELLS = 1 << 14;
   private static final long FINGERPRINT_MASK = 4095;
   private static final double EXPECTED_RATE = 1000;
@@ -70,10 +70,10 @@
   private long nextRequestNumber;
 
   /**
-   * Takes every decision and does nothing. The router's tests have the same class; none of it can
-   * be had from here, as the deployed jar contains no test code.
+   * Ignores all actions. The router's tests have an equal class, which cannot be used here because
+   * the router's jar contains no test code.
    */
-  private static final class IgnoredActions implements PolicyActions {
+  private static final class NoOpActions implements PolicyActions {
     @Override
     public void send(RequestId request, HostId host, long timeoutNanos, long startWithinNanos) {}
 
@@ -99,7 +99,7 @@
     public void log(LogLevel level, String line) {}
   }
 
-  /** Creates both policies, with the settings of the testbed's routers and one ready host. */
+  /** Creates both policies with the settings of the testbed's routers and one ready host. */
   @Setup
   public void setUp() throws InvalidConfigException {
     RoutingSettings settings = RouterConfig.decodeSettings(RouterSettings.forCluster(1).toString());
@@ -111,7 +111,7 @@
         new DefaultRoutingPolicy(
             settings,
             new SplittableRandom(1),
-            new IgnoredActions(),
+            new NoOpActions(),
             OverloadSignals.withoutOverloadControl(settings));
     policyWithOverloadControl =
         new OverloadController(
@@ -119,7 +119,7 @@
             OverloadSettings.DEFAULT,
             new ConnectBackoff(new SplittableRandom(1), true),
             () -> 0,
-            new IgnoredActions(),
+            new NoOpActions(),
             (signals, actions) ->
                 new DefaultRoutingPolicy(settings, new SplittableRandom(1), actions, signals));
     for (RoutingPolicy policy : List.of(policyAlone, policyWithOverloadControl)) {
@@ -131,7 +131,7 @@
     retryAfterSchedule.setExpectedRate(EXPECTED_RATE);
   }
 
-  private void handleOneRequest(RoutingPolicy policy) {
+  private void handleRequest(RoutingPolicy policy) {
     now += NANOS_PER_MILLI;
     RequestId id = new RequestId(Long.toString(nextRequestNumber++));
     policy.requestReceived(
@@ -153,19 +153,19 @@
     policy.timerFired(now);
   }
 
-  /** A request through the routing policy alone. */
+  /** Handles a request with the routing policy alone. */
   @Benchmark
   public void requestThroughPolicyAlone() {
-    handleOneRequest(policyAlone);
+    handleRequest(policyAlone);
   }
 
-  /** A request through overload control and the routing policy. */
+  /** Handles a request with overload control and the routing policy. */
   @Benchmark
   public void requestThroughOverloadControl() {
-    handleOneRequest(policyWithOverloadControl);
+    handleRequest(policyWithOverloadControl);
   }
 
-  /** Counting a fingerprint and looking another one up. */
+  /** Adds a fingerprint to the sketch and looks up the count of the next one. */
   @Benchmark
   public int countRepeat() {
     now += NANOS_PER_MILLI / 10;
@@ -173,7 +173,7 @@
     return repeatSketch.count(nextRequestNumber & FINGERPRINT_MASK, now);
   }
 
-  /** Reserving a time to come back. */
+  /** Reserves the return of a rejected request. */
   @Benchmark
   public long reserveRetryAfter() {
     now += NANOS_PER_MILLI;
--- a/testbed/src/main/java/rushwood/testbed/load/PopulationCounts.java
+++ b/testbed/src/main/java/rushwood/testbed/load/PopulationCounts.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
 
-/** What is counted over the clients of one population, on their event loop. */
+/** Counts of events at the clients of one population; updated on their event loop. */
 final class PopulationCounts {
-  private final int clients;
-  private final AtomicInteger unfinished; // read by the experiment's thread too
+  private final int clientCount;
+  private final AtomicInteger unfinished; // also read by the experiment's thread
   private int succeeded;
   private int outcomeUnknown;
   private int triesExhausted;
@@ -17,12 +17,12 @@
   private int surplusAnswers;
   private int connects;
 
-  PopulationCounts(int clients) {
-    this.clients = clients;
-    unfinished = new AtomicInteger(clients);
+  PopulationCounts(int clientCount) {
+    this.clientCount = clientCount;
+    unfinished = new AtomicInteger(clientCount);
   }
 
-  /** Clients that have neither been served nor given up; may be called by any thread. */
+  /** Returns the number of clients that have not finished; may be called by any thread. */
   int unfinished() {
     return unfinished.get();
   }
@@ -52,13 +52,13 @@
     unansweredTries++;
   }
 
-  /** An answer came that no try waited for, or another client's. */
-  void surplusAnswer() {
+  /** Counts an answer that no try was waiting for, or that belongs to another client. */
+  void surplusAnswerReceived() {
     surplusAnswers++;
   }
 
-  /** The router closed a connection whose client it had told when to come back. */
-  void closedDespiteRetryAfter() {
+  /** Counts a connection that the router closed between a Retry-After and the client's next try. */
+  void connectionClosedDespiteRetryAfter() {
     closedDespiteRetryAfter++;
   }
 
@@ -66,15 +66,19 @@
     connects++;
   }
 
-  /** Records the figures of the population at that index of the experiment's file. */
+  /**
+   * Records the figures of the population.
+   *
+   * @param populationIndex the index of the population in the experiment file
+   */
   void reportTo(ExperimentResult result, int populationIndex) {
     BiConsumer<String, Number> record =
         (name, value) ->
             result.recordFigure(
                 ReportNames.ofPopulation(populationIndex, name), value.doubleValue());
-    record.accept(ReportNames.CLIENTS, clients);
+    record.accept(ReportNames.CLIENTS, clientCount);
     record.accept(ReportNames.SUCCEEDED, succeeded);
-    record.accept(ReportNames.SHARE_SUCCEEDED, (double) succeeded / clients);
+    record.accept(ReportNames.SHARE_SUCCEEDED, (double) succeeded / clientCount);
     record.accept(ReportNames.OUTCOME_UNKNOWN, outcomeUnknown);
     record.accept(ReportNames.TRIES_EXHAUSTED, triesExhausted);
     record.accept(ReportNames.UNFINISHED, unfinished());
--- a/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
@@ -5,14 +5,17 @@
 import rushwood.testbed.model.TestbedRequestClass;
 
 /**
- * Clients of one kind, each with one request, that arrive at even intervals.
+ * A population of clients that arrive at even intervals, each with one request.
  *
- * @param group the group of hosts that has their data
- * @param startSeconds when the first one arrives
- * @param arrivalSeconds within which time all of them arrive
- * @param maxTries tries of a client before it gives up
+ * @param count the number of clients
+ * @param requestClass the class of the clients' requests
+ * @param group the number of the group whose hosts serve the requests
+ * @param startSeconds when the first client arrives, from the experiment's start
+ * @param arrivalSeconds the time over which the arrivals are spread
+ * @param maxTries the number of tries after which a client gives up
+ * @param retryBehavior when a client retries
  * @param tryTimeoutSeconds how long a client waits for the answer to a try
- * @param keepsConnection whether a client keeps its connection between tries and after the last
+ * @param keepsConnection whether a client keeps its connection between tries and after the last one
  */
 public record PopulationSpec(
     int count,
@@ -24,22 +27,22 @@
     @JsonProperty("manners") RetryBehavior retryBehavior,
     @JsonProperty("outer") double tryTimeoutSeconds,
     @JsonProperty("stays") boolean keepsConnection) {
-  /** Whether their requests are writes. */
+  /** Returns whether the clients' requests are writes. */
   public boolean isWrite() {
     return requestClass.isWrite();
   }
 
-  /** When the client at that index arrives, in nanoseconds from the experiment's start. */
+  /** Returns the arrival of the client at an index, in nanoseconds from the experiment's start. */
   public long arrivalNanos(int index) {
-    return Experiment.nanos(startSeconds + arrivalSeconds * index / count);
+    return Experiment.secondsToNanos(startSeconds + arrivalSeconds * index / count);
   }
 
-  /** How long a client waits for the answer to a try, in nanoseconds. */
+  /** Returns how long a client waits for the answer to a try, in nanoseconds. */
   public long tryTimeoutNanos() {
-    return Experiment.nanos(tryTimeoutSeconds);
+    return Experiment.secondsToNanos(tryTimeoutSeconds);
   }
 
-  /** The same with so many times the clients. */
+  /** Returns a copy with {@code factor} times as many clients. */
   PopulationSpec scaledBy(int factor) {
     return new PopulationSpec(
         count * factor,
--- a/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
@@ -23,33 +23,43 @@
 import rushwood.testbed.standin.Statement;
 
 /**
- * Several routers in processes of their own, each with an agent and steady clients of its own, and
- * hosts {@code h0}, {@code h1}, ... that all share. Everything but the routers lives on one event
- * loop of this process.
+ * Several router processes, each with its own discovery agent and its own clients, and stand-in
+ * hosts {@code h0}, {@code h1}, ... that all routers share. Everything except the routers runs on
+ * one event loop of this process.
  */
 public final class RouterCluster implements AutoCloseable {
-  /** Hosts so fast that nothing waits for them, and that are always warm. */
+  // Always warm, and fast enough that requests do not wait.
   private static final HostModel.Parameters FAST_HOST =
       new HostModel.Parameters(4000, 8, 64, 0.15, 0, 4, 0, 0);
 
-  private static final int LOOP_TIMEOUT_SECONDS = 20; // tasks take milliseconds
+  private static final int LOOP_TIMEOUT_SECONDS = 20; // a task takes milliseconds
   private static final String PRIMARY = "h0";
   private static final int GROUP = 0;
 
-  private final MultiThreadIoEventLoopGroup group =
+  private final MultiThreadIoEventLoopGroup eventLoopGroup =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = (EventLoop) group.next();
-  private final Path folder = Files.createTempDirectory("cluster");
+  private final EventLoop loop = (EventLoop) eventLoopGroup.next();
+  private final Path directory = Files.createTempDirectory("cluster");
   private final List<ClusterMember> members = new ArrayList<>();
   private final Map<String, StandinHost> hosts = new LinkedHashMap<>();
 
-  /** A cluster of fast hosts; {@code drainGraceSeconds} is a setting of the routers. */
+  /**
+   * Creates a cluster of fast hosts that are always warm.
+   *
+   * @param drainGraceSeconds the routers' setting {@code drain_grace}
+   */
   public RouterCluster(Path jar, int routers, int hostCount, double drainGraceSeconds)
       throws IOException, InterruptedException {
     this(jar, routers, hostCount, drainGraceSeconds, FAST_HOST);
   }
 
-  /** A cluster of hosts of that capacity. */
+  /**
+   * Creates a cluster and starts its hosts and discovery agents; the routers are started by {@link
+   * #startAll}.
+   *
+   * @param drainGraceSeconds the routers' setting {@code drain_grace}
+   * @param parameters the parameters of each host's model
+   */
   public RouterCluster(
       Path jar,
       int routers,
@@ -63,9 +73,9 @@
     ObjectNode settings = RouterSettings.forCluster(routers);
     ((ObjectNode) settings.get("rules")).put("drain_grace", drainGraceSeconds);
     for (int i = 0; i < routers; i++) {
-      members.add(new ClusterMember(i, loop, jar, settings, folder));
+      members.add(new ClusterMember(i, loop, jar, settings, directory));
     }
-    runOnLoop(() -> members.forEach(this::announceAll));
+    runOnLoop(() -> members.forEach(this::announceAllHosts));
   }
 
   private void startHost(String id, HostModel.Parameters parameters, long seed)
@@ -78,41 +88,42 @@
   }
 
   private void recordRequest(String host, Statement statement) {
-    int number = ClusterMember.numberFromRequestId(statement.id());
-    members.get(number).recordRequest(host, now());
+    int index = ClusterMember.indexFromRequestId(statement.id());
+    members.get(index).recordRequest(host, now());
   }
 
-  private void announceAll(ClusterMember member) {
+  private void announceAllHosts(ClusterMember member) {
     hosts.keySet().forEach(host -> announce(member, host, Endpoint.State.READY));
   }
 
-  /** The routers with what is their own. */
+  /** Returns the routers, each with its discovery agent and its clients. */
   public List<ClusterMember> members() {
     return members;
   }
 
-  /** The present in nanoseconds, on the clock that all times here are taken from. */
+  /** Returns the time in nanoseconds on the clock of this cluster and of its hosts. */
   public long now() {
     return System.nanoTime();
   }
 
   /**
-   * Computes a value on the loop, where agents, hosts and clients live, and waits for it.
+   * Computes a value on the event loop, which owns the agents, hosts and clients, and waits for it.
    *
-   * @throws IllegalStateException if the task fails, or the loop does not get to it within 20 s
+   * @throws IllegalStateException if the task fails or does not complete within 20 s
    */
   public <T> T computeOnLoop(Callable<T> task) throws InterruptedException {
     try {
       return loop.submit(task).get(LOOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a task of the cluster's event loop failed", e.getCause());
+      throw new IllegalStateException("task failed on the cluster's event loop", e.getCause());
     } catch (TimeoutException e) {
       throw new IllegalStateException(
-          "the cluster's event loop took longer than " + LOOP_TIMEOUT_SECONDS + " s", e);
+          "task not completed on the cluster's event loop within " + LOOP_TIMEOUT_SECONDS + " s",
+          e);
     }
   }
 
-  /** Runs a task on the loop, where agents, hosts and clients live, and waits for its end. */
+  /** Runs a task on the event loop, as {@link #computeOnLoop} does, and waits for its end. */
   public void runOnLoop(Runnable task) throws InterruptedException {
     computeOnLoop(
         () -> {
@@ -121,52 +132,58 @@
         });
   }
 
-  /** Starts every router with its agent's present list as the one held from before. */
+  /** Starts every router with its agent's current list as the one known from an earlier run. */
   public void startAll() throws IOException, InterruptedException {
     for (ClusterMember member : members) {
       member.start(computeOnLoop(member.discovery()::fullList));
     }
   }
 
-  /** Has the clients of every router begin to send. */
-  public void startLoad(int requestsPerSecondAndRouter) throws InterruptedException {
-    runOnLoop(() -> members.forEach(member -> member.load().start(requestsPerSecondAndRouter)));
+  /** Starts the clients of every router. */
+  public void startLoad(int requestsPerSecondPerRouter) throws InterruptedException {
+    runOnLoop(() -> members.forEach(member -> member.load().start(requestsPerSecondPerRouter)));
   }
 
-  /** Has the clients of every router stop sending. */
+  /** Makes the clients of every router stop sending. */
   public void pauseLoad() throws InterruptedException {
     runOnLoop(() -> members.forEach(member -> member.load().pause()));
   }
 
-  /** A member's agent lists a host with that state; on the loop. */
+  /** Publishes a state of a host through a member's agent; called on the event loop. */
   public void announce(ClusterMember member, String host, Endpoint.State state) {
-    member.discovery().publish(entry(host, host, state));
+    member.discovery().publish(endpointEntry(host, host, state));
   }
 
-  /** A list entry with that id that leads to that host, whose id it need not be. */
-  public EndpointEntry entry(String id, String host, Endpoint.State state) {
-    return entry(id, host, state, 0);
+  /** Returns an endpoint list entry for a host; its id may differ from the host's own. */
+  public EndpointEntry endpointEntry(String id, String host, Endpoint.State state) {
+    return endpointEntry(id, host, state, 0);
   }
 
-  private EndpointEntry entry(String id, String host, Endpoint.State state, long startedMillis) {
+  private EndpointEntry endpointEntry(
+      String id, String host, Endpoint.State state, long startedMillis) {
     return new EndpointEntry(
         id, host(host).address(), GROUP, state, startedMillis, id.equals(PRIMARY));
   }
 
-  /** A host's process starts anew, cold, and all agents list that; on the loop. */
+  /**
+   * Restarts the process of a host, which is cold afterwards, and publishes its new start time
+   * through all agents; called on the event loop.
+   */
   public void restartHost(String host) {
     host(host).model().restart(now());
     long startedMillis = System.currentTimeMillis();
     members.forEach(
         member ->
-            member.discovery().publish(entry(host, host, Endpoint.State.READY, startedMillis)));
+            member
+                .discovery()
+                .publish(endpointEntry(host, host, Endpoint.State.READY, startedMillis)));
   }
 
   private StandinHost host(String id) {
-    return Objects.requireNonNull(hosts.get(id), () -> "no host " + id);
+    return Objects.requireNonNull(hosts.get(id), () -> "the cluster has no host " + id);
   }
 
-  /** The model of a host; used on the loop. */
+  /** Returns the model of a host, which is used on the event loop. */
   public HostModel hostModel(String host) {
     return host(host).model();
   }
@@ -178,7 +195,7 @@
       member.close();
     }
     hosts.values().forEach(StandinHost::close);
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-    Files.deleteIfExists(folder);
+    eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    Files.deleteIfExists(directory);
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/load/RouterCounters.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterCounters.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * Reads the counters that a router logs as it stops. Routers up to version d7da1f9 used other
- * names; these are reported under the present ones, so that builds can be compared.
+ * Parses the counters that a router logs when it stops. Names used by routers up to version d7da1f9
+ * are translated to the current ones, so that builds can be compared.
  */
 final class RouterCounters {
   private static final String LOG_PREFIX = "INFO counters ";
 
+  /** The current names of counters by their former names. */
   private static final Map<String, String> FORMER_NAMES =
       Map.ofEntries(
           Map.entry("clients_idled", "clients_evicted"),
@@ -53,7 +54,7 @@
 
   private RouterCounters() {}
 
-  /** The counters of the last such line of a log, by their present names; none without a line. */
+  /** Returns the counters of a log's last counter line by current name; empty if it has none. */
   static Map<String, Long> parse(String log) {
     Map<String, Long> counters = new LinkedHashMap<>();
     int start = log.lastIndexOf(LOG_PREFIX);
--- a/testbed/src/main/java/rushwood/testbed/load/RouterSettings.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterSettings.java
@@ -8,18 +8,21 @@
 import rushwood.testbed.model.TestbedRequestClass;
 import rushwood.testbed.standin.Loopback;
 
-/** The configuration of the testbed's routers, with the classes of {@link TestbedRequestClass}. */
+/** Creates the configuration of the testbed's routers, for the {@link TestbedRequestClass}es. */
 public final class RouterSettings {
   private RouterSettings() {}
 
-  /** The settings of the experiment's routers. */
+  /**
+   * Returns the settings of the experiment's routers: those of {@link #forCluster}, of which the
+   * experiment's own settings replace whole top-level values.
+   */
   public static ObjectNode forExperiment(Experiment experiment) {
     ObjectNode settings = forCluster(experiment.routerCount());
     settings.setAll((ObjectNode) experiment.settings());
     return settings;
   }
 
-  /** The settings of each of so many routers. */
+  /** Returns the settings of each router of a cluster of {@code routerCount} routers. */
   public static ObjectNode forCluster(int routerCount) {
     ObjectNode settings = JsonNodeFactory.instance.objectNode();
     ArrayNode classes = settings.putArray("classes");
@@ -29,7 +32,7 @@
     addRequestClass(classes, TestbedRequestClass.KEYED_WRITE, 0.75, 5, "by_key");
     settings.put("discovery", "automatic").put("n_instances", routerCount);
     settings.put("resolution", 0.005);
-    addDomain(settings.putObject("domain"));
+    addDomainSettings(settings.putObject("domain"));
     settings
         .putObject("limits")
         .put("conn_idle", 30.0)
@@ -52,8 +55,8 @@
     return settings;
   }
 
-  /** Staleness and consistency of the classes, in the order of {@link TestbedRequestClass}. */
-  private static void addDomain(ObjectNode domain) {
+  /** Adds the classes' staleness and consistency, in the order of {@link TestbedRequestClass}. */
+  private static void addDomainSettings(ObjectNode domain) {
     domain.put("behind", "reject").put("token_mode", "client");
     domain.putArray("lag_allowed").add(0.5).add(0.0).add(0.0).add(0.0);
     domain.putArray("needs_by_class").add("recent").add("update").add("loose").add("update");
@@ -75,7 +78,7 @@
         .put("window", 5.0);
   }
 
-  /** The configuration file of one router. */
+  /** Returns the contents of the configuration file of one router. */
   static ObjectNode configuration(
       String name,
       InetSocketAddress listen,
--- a/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
@@ -5,15 +5,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Something that happens during an experiment.
+ * An event that happens at a set time of an experiment.
  *
- * @param atSeconds when, from the experiment's start
- * @param host the id of the host that it happens to; none for an event without host
+ * @param atSeconds the time from the experiment's start
+ * @param host the id of the affected host; null for an event that affects no single host
  */
 public record ScheduledEvent(
     @JsonProperty("at") double atSeconds, @JsonProperty("what") Type type, @Nullable String host) {
 
-  /** What may happen. */
+  /** The type of an event. */
   public enum Type {
     @JsonProperty("die")
     CRASH,
@@ -35,46 +35,46 @@
     TERMINATE_ROUTER
   }
 
-  /** What carries out events; one method for each type. */
+  /** Carries out events. */
   public interface Handler {
-    /** The host's process ends. */
+    /** Ends the host's process. */
     void crash(String host);
 
-    /** The host's process starts anew. */
+    /** Starts a new process of the host. */
     void restart(String host);
 
-    /** The host becomes its group's primary, the group's others become replicas. */
+    /** Makes the host the primary of its group, and all other hosts of the group replicas. */
     void promote(String host);
 
-    /** The host becomes a replica. */
+    /** Makes the host a replica. */
     void demote(String host);
 
-    /** From now on the host answers nothing, or answers again. */
+    /** Makes the host stop answering, or answer again. */
     void setHung(String host, boolean hung);
 
-    /** Discovery tells of no more changes. */
+    /** Makes discovery send no more changes. */
     void silenceDiscovery();
 
-    /** Discovery tells the endpoint list with its present roles. */
+    /** Makes discovery publish the endpoints with their current roles. */
     void publishEndpoints();
 
-    /** The router gets SIGTERM. */
+    /** Sends SIGTERM to the router. */
     void terminateRouter();
   }
 
-  /** When it happens, in nanoseconds from the experiment's start. */
+  /** Returns the time of the event, in nanoseconds from the experiment's start. */
   public long atNanos() {
-    return Experiment.nanos(atSeconds);
+    return Experiment.secondsToNanos(atSeconds);
   }
 
   private String requireHost() {
-    return Objects.requireNonNull(host, () -> type + " names no host");
+    return Objects.requireNonNull(host, () -> "the event " + type + " has no host");
   }
 
   /**
-   * Has the handler carry it out.
+   * Carries out the event with the given handler.
    *
-   * @throws NullPointerException if it happens to a host and names none
+   * @throws NullPointerException if the event affects a host and {@link #host} is null
    */
   public void applyTo(Handler handler) {
     switch (type) {
--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -7,10 +7,10 @@
 import rushwood.testbed.standin.Statement;
 
 /**
- * A client on a socket: one request, in as many tries as it takes, with a retry behavior. It lives
- * on the event loop of its {@link LoadContext}.
+ * A client of an experiment on sockets. It makes one request, in as many tries as its {@link
+ * PopulationSpec} allows, and is used on the event loop of its {@link LoadContext} only.
  *
- * <p>A write whose try failed or had no answer may have run, so it is not tried again and counts as
+ * <p>A write whose try failed or was not answered may have run; it is not retried and counts as one
  * of unknown outcome.
  */
 final class SocketClient {
@@ -33,17 +33,17 @@
   private final PopulationCounts counts;
   private final SplittableRandom random;
   private long startedAt;
-  private long tryDeadline; // includes the time for connecting, which is not the router's to spend
+  private long tryDeadline; // also limits connecting; the router is told what is left after it
   private int triesMade;
   private int resends;
-  private long retryAfter; // of the last try, 0 for none
+  private long retryAfterNanos; // of the last try; 0 if it had none
   private @Nullable ClientConnection
-      connection; // the last that was opened; events of others are ignored
+      connection; // the latest one; data and closing of earlier ones are ignored
   private boolean tryEnded;
-  private boolean toldToComeBack; // on this connection, as the last try was rejected
+  private boolean retryAfterReceived; // with the last try's rejection
   private boolean finished;
 
-  /** {@code random} is shared by the clients of a population. */
+  /** Creates the client; the clients of a population share {@code random}. */
   SocketClient(
       int number,
       PopulationSpec spec,
@@ -57,7 +57,7 @@
     this.random = random;
   }
 
-  /** The client arrives. */
+  /** Makes the client arrive and start its first try. */
   void start() {
     startedAt = context.now();
     startTry();
@@ -66,10 +66,10 @@
   private void startTry() {
     triesMade++;
     tryEnded = false;
-    toldToComeBack = false;
-    context.addToSeries(ReportNames.TRIES_SERIES);
+    retryAfterReceived = false;
+    context.incrementSeries(ReportNames.TRIES_SERIES);
     if (triesMade > 1) {
-      context.addToSeries(ReportNames.CLIENT_RETRIES_SERIES);
+      context.incrementSeries(ReportNames.CLIENT_RETRIES_SERIES);
     }
     int thisTry = triesMade;
     tryDeadline = context.now() + spec.tryTimeoutNanos();
@@ -90,7 +90,8 @@
 
   private void connect() {
     counts.connectStarted();
-    connection = new ClientConnection(context.loop(), context.router(), new ConnectionListener());
+    connection =
+        new ClientConnection(context.loop(), context.routerAddress(), new ConnectionListener());
   }
 
   private void sendQuery(ClientConnection target) {
@@ -103,7 +104,7 @@
     return KEY_PREFIX + number;
   }
 
-  /** The number of the client whose requests have that key. */
+  /** Returns the number of the client whose requests have the given key. */
   static int numberFromKey(String key) {
     return Integer.parseInt(key.substring(KEY_PREFIX.length()));
   }
@@ -128,7 +129,7 @@
 
   private void endTry(TryOutcome outcome, long retryAfterNanos) {
     tryEnded = true;
-    retryAfter = retryAfterNanos;
+    this.retryAfterNanos = retryAfterNanos;
     boolean answered = outcome != TryOutcome.NOT_SENT && outcome != TryOutcome.NO_ANSWER;
     if (spec.isWrite() && answered) {
       context.ledger().recordAnswer(number, outcome == TryOutcome.SUCCESS);
@@ -136,9 +137,9 @@
     switch (outcome) {
       case SUCCESS -> succeed();
       case REJECTED -> {
-        toldToComeBack = retryAfter > 0;
-        counts.tryRejected(toldToComeBack);
-        context.addToSeries(ReportNames.REJECTED_SERIES);
+        retryAfterReceived = retryAfterNanos > 0;
+        counts.tryRejected(retryAfterReceived);
+        context.incrementSeries(ReportNames.REJECTED_SERIES);
         retryOrFinish();
       }
       case NOT_SENT -> retryOrFinish();
@@ -152,7 +153,7 @@
 
   private void succeed() {
     counts.clientSucceeded();
-    context.addToSeries(ReportNames.GOODPUT_SERIES);
+    context.incrementSeries(ReportNames.GOODPUT_SERIES);
     context.result().recordCompletion(context.now() - startedAt);
     finish();
   }
@@ -172,10 +173,10 @@
       finish();
       return;
     }
-    if (!spec.keepsConnection() && !toldToComeBack) {
+    if (!spec.keepsConnection() && !retryAfterReceived) {
       disconnect();
     }
-    long delay = spec.retryBehavior().retryDelay(triesMade, retryAfter, random);
+    long delay = spec.retryBehavior().retryDelay(triesMade, retryAfterNanos, random);
     context.scheduleAfter(delay, this::startTry);
   }
 
@@ -190,7 +191,7 @@
     }
   }
 
-  /** Takes what comes on the present connection; what comes on an earlier one is ignored. */
+  /** Handles events of the current connection; data and closing of earlier ones are ignored. */
   private final class ConnectionListener implements ClientConnection.Listener {
     @Override
     public void connectionOpened(ClientConnection opened) {
@@ -212,7 +213,7 @@
         return;
       }
       if (tryEnded) {
-        counts.surplusAnswer();
+        counts.surplusAnswerReceived();
       } else if (answer.type() == ProtocolMessage.DATA_ROW) {
         handleRow(answer);
       } else {
@@ -222,7 +223,7 @@
 
     private void handleRow(ProtocolMessage row) {
       if (!row.text().endsWith(key())) {
-        counts.surplusAnswer();
+        counts.surplusAnswerReceived();
       }
       endTry(TryOutcome.SUCCESS);
     }
@@ -244,15 +245,18 @@
       if (closed != connection) {
         return;
       }
-      if (toldToComeBack && tryEnded && wasUsable && !finished) {
-        counts.closedDespiteRetryAfter();
+      if (retryAfterReceived && tryEnded && wasUsable && !finished) {
+        counts.connectionClosedDespiteRetryAfter();
       }
       if (!tryEnded) {
         resendOrEnd();
       }
     }
 
-    /** A read that crossed with the router's close is sent once more; a write may have run. */
+    /**
+     * Resends a read once, because it may have crossed the router's closing of the connection; a
+     * write may have run.
+     */
     private void resendOrEnd() {
       if (hasSentQuery() && resends < MAX_RESENDS && !spec.isWrite()) {
         resends++;
--- a/testbed/src/main/java/rushwood/testbed/load/SocketEventHandler.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketEventHandler.java
@@ -3,7 +3,7 @@
 import rushwood.testbed.standin.RouterProcess;
 import rushwood.testbed.standin.StandinDiscovery;
 
-/** Carries out the events of an experiment on sockets, on its event loop. */
+/** Carries out the events of an experiment on sockets; called on the experiment's event loop. */
 final class SocketEventHandler implements ScheduledEvent.Handler {
   private final ExperimentHosts hosts;
   private final StandinDiscovery discovery;
--- a/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
@@ -19,27 +19,27 @@
 import rushwood.testbed.standin.Statement;
 
 /**
- * Runs an experiment on loopback sockets against one router in a process of its own. Hosts,
- * discovery and clients live on one event loop of this process. An instance runs once.
+ * Runs an experiment on loopback sockets against one router process. Hosts, discovery and clients
+ * run on one event loop of this process. An instance can be run only once.
  */
 public final class SocketExperiment {
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final long START_DELAY_NANOS = 600 * NANOS_PER_MILLI; // for the router to settle
+  private static final long START_DELAY_NANOS = 600 * NANOS_PER_MILLI; // lets the router settle
   private static final long SAMPLE_INTERVAL_NANOS = 100 * NANOS_PER_MILLI;
 
   private final Experiment experiment;
   private final RouterProcess.Build build;
   private final ExperimentResult result;
   private final WriteLedger ledger = new WriteLedger();
-  private final MultiThreadIoEventLoopGroup group =
+  private final MultiThreadIoEventLoopGroup eventLoopGroup =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = (EventLoop) group.next();
+  private final EventLoop loop = (EventLoop) eventLoopGroup.next();
   private final LongSupplier clock = unixNanoClock();
   private final StandinDiscovery discovery = new StandinDiscovery(loop);
   private final ExperimentHosts hosts;
 
-  /** An experiment with a router of that build. */
+  /** Creates a run of an experiment against a router that is started from the given build. */
   public SocketExperiment(Experiment experiment, RouterProcess.Build build) {
     this.experiment = experiment;
     this.build = build;
@@ -47,7 +47,7 @@
     hosts = new ExperimentHosts(experiment, discovery);
   }
 
-  /** A clock of Unix time that never goes back. */
+  /** Returns a clock of Unix time in nanoseconds that never goes back. */
   private static LongSupplier unixNanoClock() {
     Instant now = Instant.now();
     long unixNanos = now.getEpochSecond() * NANOS_PER_SECOND + now.getNano();
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Runs until every client is served or has given up, or the experiment's time is over.
+   * Runs until every client has finished or the experiment's duration has passed.
    *
+   * @return the figures, the router's counters and the time series
    * @throws IOException if the router does not start
    */
   public ExperimentResult run() throws IOException, InterruptedException {
@@ -68,14 +69,14 @@
       InetSocketAddress listen = Loopback.freeAddress();
       Files.writeString(configFile, routerConfiguration(listen, discoveryAddress));
       try (RouterProcess router = new RouterProcess(build, configFile, listen)) {
-        play(router, listen);
+        runLoad(router, listen);
       }
       return result;
     } finally {
       Files.deleteIfExists(configFile);
       hosts.close();
       discovery.close();
-      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+      eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
   }
 
@@ -96,17 +97,18 @@
         .toString();
   }
 
-  private void play(RouterProcess router, InetSocketAddress routerAddress)
+  private void runLoad(RouterProcess router, InetSocketAddress routerAddress)
       throws IOException, InterruptedException {
     long startNanos = clock.getAsLong() + START_DELAY_NANOS;
     List<ClientPopulation> populations = createPopulations(routerAddress, startNanos);
     loop.submit(
             () ->
-                schedule(populations, new SocketEventHandler(hosts, discovery, router), startNanos))
+                scheduleArrivalsAndEvents(
+                    populations, new SocketEventHandler(hosts, discovery, router), startNanos))
         .sync();
     awaitEnd(populations, startNanos + experiment.durationNanos());
     loop.submit(() -> reportFigures(populations, router)).sync();
-    result.readCounters(router.stop());
+    result.addLoggedCounters(router.stop());
   }
 
   private List<ClientPopulation> createPopulations(
@@ -122,7 +124,7 @@
     return populations;
   }
 
-  private void schedule(
+  private void scheduleArrivalsAndEvents(
       List<ClientPopulation> populations, ScheduledEvent.Handler handler, long startNanos) {
     populations.forEach(ClientPopulation::scheduleArrivals);
     for (ScheduledEvent event : experiment.events()) {
--- a/testbed/src/main/java/rushwood/testbed/load/SteadyLoad.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SteadyLoad.java
@@ -18,13 +18,14 @@
 import rushwood.testbed.standin.Statement;
 
 /**
- * Reads sent to one router at even intervals, on as many connections as it takes. What is answered
- * does not matter; a request whose connection ends is not sent again. Used on the event loop only.
+ * Sends requests to one router at even intervals, each on an idle connection or else on a new one.
+ * The contents of answers are ignored, and a request whose connection closes is not resent. Used on
+ * the event loop only.
  */
 public final class SteadyLoad {
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final int ANSWER_TIMEOUT_MILLIS = 2000;
-  private static final int KEYS = 100;
+  private static final int KEY_COUNT = 100;
   private static final int GROUP = 0;
   private static final int BUFFER_BYTES = 256;
 
@@ -32,11 +33,11 @@
   private final EventLoop loop;
   private final InetSocketAddress router;
   private final TestbedRequestClass requestClass;
-  private final Deque<Channel> idle = new ArrayDeque<>();
+  private final Deque<Channel> idleChannels = new ArrayDeque<>();
   private @Nullable ScheduledFuture<?> sendTask;
-  private long sent;
+  private long requestsSent;
 
-  /** The id of each request begins with {@code idPrefix}. */
+  /** Creates the load, which sends nothing yet; each request's id begins with {@code idPrefix}. */
   public SteadyLoad(
       String idPrefix, EventLoop loop, InetSocketAddress router, TestbedRequestClass requestClass) {
     this.idPrefix = idPrefix;
@@ -45,26 +46,26 @@
     this.requestClass = requestClass;
   }
 
-  /** Begins to send. */
+  /** Starts sending, or resumes after {@link #pause}. */
   public void start(int requestsPerSecond) {
     long interval = NANOS_PER_SECOND / requestsPerSecond;
     sendTask = loop.scheduleAtFixedRate(this::sendNext, 0, interval, TimeUnit.NANOSECONDS);
   }
 
-  /** Stops sending; connections stay open. */
+  /** Stops sending; open connections are kept. */
   public void pause() {
     if (sendTask != null) {
       sendTask.cancel(false);
     }
   }
 
-  /** Requests that were sent. */
-  public long sent() {
-    return sent;
+  /** Returns the number of requests sent so far. */
+  public long requestsSent() {
+    return requestsSent;
   }
 
   private void sendNext() {
-    Channel idleChannel = idle.poll();
+    Channel idleChannel = idleChannels.poll();
     if (idleChannel == null) {
       Loopback.connect(loop, router, new ConnectionHandler());
     } else {
@@ -77,12 +78,16 @@
     MessageEncoder.writeQuery(
         out,
         Statement.format(
-            requestClass, "k" + sent % KEYS, idPrefix + sent, ANSWER_TIMEOUT_MILLIS, GROUP));
-    sent++;
+            requestClass,
+            "k" + requestsSent % KEY_COUNT,
+            idPrefix + requestsSent,
+            ANSWER_TIMEOUT_MILLIS,
+            GROUP));
+    requestsSent++;
     channel.writeAndFlush(out);
   }
 
-  /** A connection that has one request at a time, the first as soon as the router is ready. */
+  /** Handles a connection with one request at a time, the first as soon as the router is ready. */
   private final class ConnectionHandler extends SimpleChannelInboundHandler<ProtocolMessage> {
     private boolean ready;
 
@@ -99,7 +104,7 @@
         return;
       }
       if (ready) {
-        idle.push(context.channel());
+        idleChannels.push(context.channel());
       } else {
         ready = true;
         sendQuery(context.channel());
@@ -108,7 +113,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      idle.remove(context.channel());
+      idleChannels.remove(context.channel());
     }
 
     @Override
--- a/testbed/src/test/java/rushwood/testbed/Await.java
+++ b/testbed/src/test/java/rushwood/testbed/Await.java
@@ -5,44 +5,49 @@
 import java.util.concurrent.TimeUnit;
 import rushwood.testbed.load.RouterCluster;
 
-/** Waits for a condition of a cluster, with a deadline by which the test fails. */
+/** Waits for conditions of a {@link RouterCluster}, and fails the test if one takes too long. */
 final class Await {
   private static final int TIMEOUT_MILLIS = 10_000;
   private static final int POLL_INTERVAL_MILLIS = 10;
 
   private Await() {}
 
-  /** Waits until the condition holds, which is looked at on the cluster's loop. */
-  static void onLoop(RouterCluster cluster, Callable<Boolean> condition, String failure)
+  /**
+   * Waits until a condition holds.
+   *
+   * @param condition evaluated on the cluster's event loop
+   * @throws AssertionError with {@code failureMessage} and the first router's log, after 10 s
+   */
+  static void untilTrue(RouterCluster cluster, Callable<Boolean> condition, String failureMessage)
       throws IOException, InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
     while (!cluster.computeOnLoop(condition)) {
       if (System.nanoTime() > deadline) {
-        throw new AssertionError(failure + ": " + cluster.members().get(0).process().log());
+        throw new AssertionError(failureMessage + ": " + cluster.members().get(0).process().log());
       }
       Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
-  /** Waits until the clients of every router have sent that many requests since now. */
-  static void requestsOfEachRouter(RouterCluster cluster, int count)
+  /** Waits until the clients of every router have sent {@code count} requests from now on. */
+  static void untilRequestsSentToEachRouter(RouterCluster cluster, int count)
       throws IOException, InterruptedException {
-    long[] before = cluster.computeOnLoop(() -> sentOf(cluster));
-    onLoop(
+    long[] sentBefore = cluster.computeOnLoop(() -> requestsSent(cluster));
+    untilTrue(
         cluster,
         () -> {
-          long[] sent = sentOf(cluster);
+          long[] sent = requestsSent(cluster);
           for (int i = 0; i < sent.length; i++) {
-            if (sent[i] < before[i] + count) {
+            if (sent[i] < sentBefore[i] + count) {
               return false;
             }
           }
           return true;
         },
-        "the clients of a router have not sent " + count + " requests");
+        "the clients of some router have not sent " + count + " requests");
   }
 
-  private static long[] sentOf(RouterCluster cluster) {
-    return cluster.members().stream().mapToLong(member -> member.load().sent()).toArray();
+  private static long[] requestsSent(RouterCluster cluster) {
+    return cluster.members().stream().mapToLong(member -> member.load().requestsSent()).toArray();
   }
 }
--- a/testbed/src/test/java/rushwood/testbed/ColdHostClusterTest.java
+++ b/testbed/src/test/java/rushwood/testbed/ColdHostClusterTest.java
@@ -9,20 +9,21 @@
 import rushwood.testbed.load.RouterCluster;
 import rushwood.testbed.model.HostModel;
 
-/** Five routers and a host that starts cold: what all of them send it is no more than it bears. */
+/** Five routers share a host that starts cold; together they must not overload it. */
 class ColdHostClusterTest {
   private static final int ROUTERS = 5;
-  private static final int REQUESTS_PER_SECOND = 40; // and router; three warm hosts do twice that
+  // 200 in total, of the 360 that the three warm hosts can serve.
+  private static final int REQUESTS_PER_SECOND_PER_ROUTER = 40;
   private static final String COLD_HOST = "h3";
-  private static final HostModel.Parameters PARAMETERS =
+  private static final HostModel.Parameters HOST_PARAMETERS =
       new HostModel.Parameters(120, 8, 64, 0.15, 14_000_000_000L, 4, 1_000_000_000L, 0);
 
   private RouterCluster cluster;
 
   @BeforeEach
   void start() throws Exception {
-    cluster = new RouterCluster(ExperimentRuns.ROUTER_JAR, ROUTERS, 4, 2, PARAMETERS);
-    startAll();
+    cluster = new RouterCluster(ExperimentRuns.ROUTER_JAR, ROUTERS, 4, 2, HOST_PARAMETERS);
+    startRoutersAndLoad();
   }
 
   @AfterEach
@@ -30,46 +31,49 @@
     cluster.close();
   }
 
-  private void startAll() throws Exception {
+  private void startRoutersAndLoad() throws Exception {
     cluster.startAll();
-    cluster.startLoad(REQUESTS_PER_SECOND);
+    cluster.startLoad(REQUESTS_PER_SECOND_PER_ROUTER);
   }
 
   /**
-   * In the window of its first seconds it bears N requests; 2 x root of N + 2 more may come by
-   * chance.
+   * Asserts that in no overload window the cold host received more than it bears: N requests at its
+   * lowest speed, and 2 * sqrt(N) + 2 more for random variation.
    */
-  private void assertColdHostBearsItsLoad() throws Exception {
-    Thread.sleep(4000); // the coldest seconds of the 14 that it warms up
-    double bearable =
-        PARAMETERS.overloadMultiple()
-            * PARAMETERS.coldStartSpeed()
-            * PARAMETERS.rate()
-            * PARAMETERS.overloadWindowNanos()
+  private void assertColdHostNotOverloaded() throws Exception {
+    Thread.sleep(4000); // the slowest part of its warm-up of 14 s
+    double bearableRequests =
+        HOST_PARAMETERS.overloadMultiple()
+            * HOST_PARAMETERS.coldStartSpeed()
+            * HOST_PARAMETERS.rate()
+            * HOST_PARAMETERS.overloadWindowNanos()
             / 1e9;
     double load = cluster.computeOnLoop(() -> cluster.hostModel(COLD_HOST).worstColdOverload());
     assertTrue(
-        load > 0.05, "hardly any request came to the cold host: " + load + " times what it bears");
-    assertTrue(load <= 1 + (2 * Math.sqrt(bearable) + 2) / bearable, load + " times what it bears");
+        load > 0.05,
+        "the cold host received hardly any requests: " + load + " times what it bears");
+    assertTrue(
+        load <= 1 + (2 * Math.sqrt(bearableRequests) + 2) / bearableRequests,
+        "the cold host received " + load + " times what it bears");
   }
 
   @Test
   void hostRestartsUnderLoad() throws Exception {
-    Await.requestsOfEachRouter(cluster, 3 * REQUESTS_PER_SECOND / 2);
+    Await.untilRequestsSentToEachRouter(cluster, 3 * REQUESTS_PER_SECOND_PER_ROUTER / 2);
     cluster.runOnLoop(() -> cluster.restartHost(COLD_HOST));
-    assertColdHostBearsItsLoad();
+    assertColdHostNotOverloaded();
   }
 
-  /** No router remembers what the warm hosts do. */
+  /** After their restart the routers do not know the throughput of the warm hosts. */
   @Test
   void allRoutersRestartTogetherWithTheHost() throws Exception {
-    Await.requestsOfEachRouter(cluster, REQUESTS_PER_SECOND / 2);
+    Await.untilRequestsSentToEachRouter(cluster, REQUESTS_PER_SECOND_PER_ROUTER / 2);
     for (ClusterMember member : cluster.members()) {
       member.process().signal("KILL");
     }
     cluster.pauseLoad();
     cluster.runOnLoop(() -> cluster.restartHost(COLD_HOST));
-    startAll();
-    assertColdHostBearsItsLoad();
+    startRoutersAndLoad();
+    assertColdHostNotOverloaded();
   }
 }
--- a/testbed/src/test/java/rushwood/testbed/DrainingCluster.java
+++ b/testbed/src/test/java/rushwood/testbed/DrainingCluster.java
@@ -10,21 +10,21 @@
 import rushwood.testbed.standin.StandinDiscovery;
 
 /**
- * Three routers under steady load, each with an agent of its own, and a host that the agents
- * announce as leaving. A host must get nothing once the drain grace has passed.
+ * Three routers under steady load, each with its own discovery agent, and a host that the agents
+ * announce as draining or removed. It must receive no requests once the drain grace has passed.
  */
 final class DrainingCluster implements AutoCloseable {
-  /** The host that leaves. */
+  /** The host that is drained. */
   static final String DRAINED_HOST = "h2";
 
   private static final int ROUTERS = 3;
   private static final int HOSTS = 4;
-  static final int REQUESTS_PER_SECOND = 150; // and router
-  private static final long DRAIN_GRACE_MILLIS = 500; // leaves some room for a busy machine
-  private static final long MARGIN_MILLIS = 300; // after the grace, to see what still comes
+  static final int REQUESTS_PER_SECOND_PER_ROUTER = 150;
+  private static final long DRAIN_GRACE_MILLIS = 500; // tolerates delays on a busy machine
+  private static final long OBSERVATION_MILLIS = 300; // after the grace, to detect late requests
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** What happens as the host is announced. */
+  /** An action by which the agents announce the host. */
   interface Announcement {
     void run() throws Exception;
   }
@@ -36,77 +36,89 @@
         new RouterCluster(ExperimentRuns.ROUTER_JAR, ROUTERS, HOSTS, DRAIN_GRACE_MILLIS / 1000.0);
   }
 
-  /** Starts the routers and their load, and waits until all of them use the host. */
+  /** Starts the routers and their load, and waits until all routers use the host. */
   void start() throws IOException, InterruptedException {
     cluster.startAll();
     startLoad();
-    awaitTraffic();
+    awaitRequestsFromAllRouters();
   }
 
   RouterCluster cluster() {
     return cluster;
   }
 
-  ClusterMember member(int number) {
-    return cluster.members().get(number);
+  ClusterMember member(int index) {
+    return cluster.members().get(index);
   }
 
   void startLoad() throws InterruptedException {
-    cluster.startLoad(REQUESTS_PER_SECOND);
+    cluster.startLoad(REQUESTS_PER_SECOND_PER_ROUTER);
   }
 
   /**
-   * Waits until each router has sent to the host: that none does later would else prove nothing.
+   * Waits until each router has sent a new request to the host; otherwise the absence of later
+   * requests would prove nothing.
    */
-  void awaitTraffic() throws IOException, InterruptedException {
-    long from = cluster.now();
-    Await.onLoop(cluster, () -> allHaveSentSince(from), DRAINED_HOST + " gets nothing");
+  void awaitRequestsFromAllRouters() throws IOException, InterruptedException {
+    long startNanos = cluster.now();
+    Await.untilTrue(
+        cluster,
+        () -> haveAllSentSince(startNanos),
+        "some router sends no requests to " + DRAINED_HOST);
   }
 
-  private boolean allHaveSentSince(long from) {
-    return cluster.members().stream().allMatch(member -> member.lastRequestAt(DRAINED_HOST) > from);
+  private boolean haveAllSentSince(long startNanos) {
+    return cluster.members().stream()
+        .allMatch(member -> member.lastRequestNanos(DRAINED_HOST) > startNanos);
   }
 
-  /** All agents list the host with that state. */
+  /** Publishes a state of the host through all agents. */
   void announce(Endpoint.State state) throws InterruptedException {
     cluster.runOnLoop(
         () -> cluster.members().forEach(member -> cluster.announce(member, DRAINED_HOST, state)));
   }
 
-  /** The host is back, and waits until all routers use it again. */
+  /** Announces the host as ready, and waits until all routers use it again. */
   void announceReady() throws IOException, InterruptedException {
     announce(Endpoint.State.READY);
-    awaitTraffic();
+    awaitRequestsFromAllRouters();
   }
 
-  /** Changes all agents. */
+  /** Applies a change to each agent. */
   void changeAgents(Consumer<StandinDiscovery> change) throws InterruptedException {
     cluster.runOnLoop(() -> cluster.members().forEach(member -> change.accept(member.discovery())));
   }
 
-  /** Asserts that the host, once announced, gets nothing after the grace, while others do. */
+  /**
+   * Runs an announcement, and asserts that the host receives nothing after the drain grace while
+   * the clients of the first router go on sending.
+   */
   void assertDrainedBy(Announcement announcement) throws Exception {
-    long announcedAt = cluster.now();
+    long announcedAtNanos = cluster.now();
     announcement.run();
-    assertDrainedSince(announcedAt);
+    assertDrainedSince(announcedAtNanos);
   }
 
-  /** Asserts the same of an announcement that has been made. */
-  void assertDrainedSince(long announcedAt) throws IOException, InterruptedException {
-    long sentBefore = cluster.computeOnLoop(() -> member(0).load().sent());
-    Thread.sleep(DRAIN_GRACE_MILLIS + MARGIN_MILLIS); // nothing may come late in this time
-    long lastRequest = cluster.computeOnLoop(this::lastRequestAt) - announcedAt;
+  /** Asserts the same as {@link #assertDrainedBy} for an announcement that has been made. */
+  void assertDrainedSince(long announcedAtNanos) throws IOException, InterruptedException {
+    long sentBefore = cluster.computeOnLoop(() -> member(0).load().requestsSent());
+    Thread.sleep(
+        DRAIN_GRACE_MILLIS + OBSERVATION_MILLIS); // late requests would arrive in this time
+    long lastRequestDelayNanos = cluster.computeOnLoop(this::lastRequestNanos) - announcedAtNanos;
     assertTrue(
-        lastRequest < DRAIN_GRACE_MILLIS * NANOS_PER_MILLI,
-        lastRequest / NANOS_PER_MILLI + " ms after it was announced: " + member(0).process().log());
+        lastRequestDelayNanos < DRAIN_GRACE_MILLIS * NANOS_PER_MILLI,
+        "a request came "
+            + lastRequestDelayNanos / NANOS_PER_MILLI
+            + " ms after the announcement; log of the first router: "
+            + member(0).process().log());
     assertTrue(
-        cluster.computeOnLoop(() -> member(0).load().sent()) > sentBefore,
-        "the first router does not serve on: " + member(0).process().log());
+        cluster.computeOnLoop(() -> member(0).load().requestsSent()) > sentBefore,
+        "the first router has stopped serving; its log: " + member(0).process().log());
   }
 
-  private long lastRequestAt() {
+  private long lastRequestNanos() {
     return cluster.members().stream()
-        .mapToLong(member -> member.lastRequestAt(DRAINED_HOST))
+        .mapToLong(member -> member.lastRequestNanos(DRAINED_HOST))
         .max()
         .orElseThrow();
   }
--- a/testbed/src/test/java/rushwood/testbed/EndpointDrainTest.java
+++ b/testbed/src/test/java/rushwood/testbed/EndpointDrainTest.java
@@ -16,8 +16,8 @@
 import rushwood.testbed.standin.StandinDiscovery;
 
 /**
- * A host that is announced as leaving gets no requests after the drain grace, also when watches,
- * agents, configurations or processes fail or change as it is announced.
+ * A host that is announced as draining or removed gets no requests after the drain grace, also when
+ * watches, agents, configurations or processes fail or change at the time of the announcement.
  */
 class EndpointDrainTest {
   private DrainingCluster draining;
@@ -36,15 +36,15 @@
   }
 
   @Test
-  void announcedOnAWatch() throws Exception {
+  void announcedOnWatch() throws Exception {
     draining.assertDrainedBy(() -> draining.announce(Endpoint.State.DRAINING));
     draining.announceReady();
     draining.assertDrainedBy(() -> draining.announce(Endpoint.State.REMOVED));
   }
 
-  /** A host that comes back under its id is used again, and drained again. */
+  /** A host that becomes ready again is used again, and can be drained again. */
   @Test
-  void announcedAsTheWatchFallsSilent() throws Exception {
+  void announcedWhileWatchIsMuted() throws Exception {
     for (int i = 0; i < 2; i++) {
       draining.assertDrainedBy(
           () -> {
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void announcedAsTheWatchIsReset() throws Exception {
+  void announcedWhileWatchIsReset() throws Exception {
     draining.assertDrainedBy(
         () -> {
           draining.changeAgents(StandinDiscovery::resetConnections);
@@ -67,73 +67,77 @@
         () -> {
           draining.changeAgents(agent -> agent.setOffline(true));
           draining.announce(Endpoint.State.DRAINING);
-          Thread.sleep(100); // the routers ask in vain
+          Thread.sleep(100); // the routers' requests for the list fail
           draining.changeAgents(agent -> agent.setOffline(false));
         });
   }
 
-  /** It was away for longer than any wait between requests for the list. */
+  /** Discovery is away for longer than any interval between requests for the list. */
   @Test
-  void announcedAsDiscoveryReturns() throws Exception {
+  void announcedWhileDiscoveryIsAway() throws Exception {
     draining.changeAgents(agent -> agent.setUnresponsive(true));
-    Thread.sleep(3700); // the time that it was away
+    Thread.sleep(3700); // discovery does not answer for this time
     draining.announce(Endpoint.State.DRAINING);
     draining.assertDrainedBy(() -> draining.changeAgents(agent -> agent.setUnresponsive(false)));
     draining.announceReady();
     draining.changeAgents(agent -> agent.setOffline(true));
-    Thread.sleep(2300); // the time that it was away
+    Thread.sleep(2300); // discovery refuses connections for this time
     draining.announce(Endpoint.State.DRAINING);
     draining.assertDrainedBy(() -> draining.changeAgents(agent -> agent.setOffline(false)));
   }
 
-  /** A new configuration names another agent, which has announced it. */
+  /** The new configuration names another agent, which has already announced the host. */
   @Test
-  void announcedByTheAgentOfANewConfiguration() throws Exception {
-    ClusterMember moved = draining.member(0);
-    StandinDiscovery other = draining.member(1).discovery();
+  void announcedByNewlyConfiguredAgent() throws Exception {
+    ClusterMember reconfigured = draining.member(0);
+    StandinDiscovery newAgent = draining.member(1).discovery();
     cluster.runOnLoop(
         () -> {
           cluster.announce(draining.member(1), DRAINED_HOST, Endpoint.State.DRAINING);
           cluster.announce(draining.member(2), DRAINED_HOST, Endpoint.State.DRAINING);
         });
-    moved.configureDiscovery(other.address());
-    draining.assertDrainedBy(() -> moved.process().signal("HUP"));
-    String log = moved.process().log();
+    reconfigured.configureDiscovery(newAgent.address());
+    draining.assertDrainedBy(() -> reconfigured.process().signal("HUP"));
+    String log = reconfigured.process().log();
     assertTrue(log.contains("discovery is now at"), log);
   }
 
-  /** The list that it held from before calls the host ready; not one request goes there. */
+  /**
+   * The router's known list says that the host is ready, yet the host gets not a single request.
+   */
   @Test
-  void announcedBeforeTheRouterStarts() throws Exception {
+  void announcedBeforeRouterStarts() throws Exception {
     ClusterMember member = draining.member(0);
     String knownEndpoints = cluster.computeOnLoop(member.discovery()::fullList);
     member.process().signal("KILL");
     cluster.runOnLoop(() -> member.load().pause());
     draining.announce(Endpoint.State.DRAINING);
-    Thread.sleep(200); // what the killed router had sent arrives
-    long before = cluster.computeOnLoop(() -> member.requestsSent(DRAINED_HOST));
-    long beforeAtOther = cluster.computeOnLoop(() -> member.requestsSent("h1"));
+    Thread.sleep(200); // the killed router's last requests arrive
+    long drainedHostBefore = cluster.computeOnLoop(() -> member.requestsReceivedBy(DRAINED_HOST));
+    long otherHostBefore = cluster.computeOnLoop(() -> member.requestsReceivedBy("h1"));
     member.start(knownEndpoints);
     draining.startLoad();
-    Await.requestsOfEachRouter(cluster, DrainingCluster.REQUESTS_PER_SECOND);
+    Await.untilRequestsSentToEachRouter(cluster, DrainingCluster.REQUESTS_PER_SECOND_PER_ROUTER);
     assertEquals(
-        before,
-        cluster.computeOnLoop(() -> member.requestsSent(DRAINED_HOST)),
-        () -> "requests to the leaving host; the router's log: " + logOf(member));
+        drainedHostBefore,
+        cluster.computeOnLoop(() -> member.requestsReceivedBy(DRAINED_HOST)),
+        () -> "requests to the draining host; the router's log: " + logOf(member));
     assertTrue(
-        cluster.computeOnLoop(() -> member.requestsSent("h1")) > beforeAtOther,
-        () -> "the router sends nothing to h1: " + logOf(member));
+        cluster.computeOnLoop(() -> member.requestsReceivedBy("h1")) > otherHostBefore,
+        () -> "the router sends nothing to h1; its log: " + logOf(member));
   }
 
-  /** One entry of hundreds, in an indented list, over a watch that broke. */
+  /** The host is one of hundreds in an indented list, and a watch has stopped sending changes. */
   @Test
   void announcedAmongHundredsOfHosts() throws Exception {
     draining.changeAgents(agent -> agent.rewriteResponses(StandinDiscovery::indent));
     draining.changeAgents(
         agent ->
             IntStream.range(0, 400)
-                .forEach(i -> agent.publish(cluster.entry("x" + i, "h3", Endpoint.State.READY))));
-    draining.awaitTraffic();
+                .forEach(
+                    i ->
+                        agent.publish(cluster.endpointEntry("x" + i, "h3", Endpoint.State.READY))));
+    draining.awaitRequestsFromAllRouters();
     draining.assertDrainedBy(() -> draining.announce(Endpoint.State.DRAINING));
     draining.announceReady();
     draining.assertDrainedBy(
@@ -143,22 +147,22 @@
         });
   }
 
-  /** The first thing that a stopped process does as it goes on is to read the announcement. */
+  /** A process that is continued after SIGSTOP reads the announcement before it sends requests. */
   @Test
-  void announcedWhileTheProcessIsStopped() throws Exception {
+  void announcedWhileProcessIsStopped() throws Exception {
     cluster.pauseLoad();
-    Thread.sleep(100); // the last requests are answered
+    Thread.sleep(100); // until the last requests have been answered
     for (ClusterMember member : cluster.members()) {
       member.process().signal("STOP");
     }
-    long announcedAt = cluster.now();
+    long announcedAtNanos = cluster.now();
     draining.announce(Endpoint.State.DRAINING);
-    draining.startLoad(); // its requests wait beside the announcement
+    draining.startLoad(); // requests queue in the sockets together with the announcement
     Thread.sleep(600); // longer than the drain grace
     for (ClusterMember member : cluster.members()) {
       member.process().signal("CONT");
     }
-    draining.assertDrainedSince(announcedAt);
+    draining.assertDrainedSince(announcedAtNanos);
   }
 
   private static String logOf(ClusterMember member) {
--- a/testbed/src/test/java/rushwood/testbed/ExperimentRuns.java
+++ b/testbed/src/test/java/rushwood/testbed/ExperimentRuns.java
@@ -11,12 +11,12 @@
 import rushwood.testbed.simulation.Simulation;
 import rushwood.testbed.standin.RouterProcess;
 
-/** Runs the experiments that are kept in {@code experiments/}. */
+/** Reads and runs the experiments in {@code experiments/}. */
 final class ExperimentRuns {
-  /** The router's jar as the build leaves it, from the module's directory. */
+  /** The router's jar in the build output, relative to this module's directory. */
   static final Path ROUTER_JAR = Path.of("../router/target/rushwood.jar");
 
-  private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-Xmx64m");
+  private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-Xmx64m");
 
   private ExperimentRuns() {}
 
@@ -35,7 +35,7 @@
 
   static ExperimentResult runOnSockets(Experiment experiment)
       throws IOException, InterruptedException {
-    RouterProcess.Build build = new RouterProcess.Build(ROUTER_JAR, FLAGS, "", "");
+    RouterProcess.Build build = new RouterProcess.Build(ROUTER_JAR, JVM_FLAGS, "", "");
     return new SocketExperiment(experiment, build).run();
   }
 }
--- a/testbed/src/test/java/rushwood/testbed/FigureAssertions.java
+++ b/testbed/src/test/java/rushwood/testbed/FigureAssertions.java
@@ -10,18 +10,18 @@
 import rushwood.testbed.load.ReportNames;
 import rushwood.testbed.report.ReportWriter;
 
-/** Assertions on figures of an experiment's result; a failure shows the figure and the report. */
+/** Assertions on the figures of an experiment's result; failure messages contain the report. */
 final class FigureAssertions {
   private FigureAssertions() {}
 
   static double figure(ExperimentResult result, String name) {
     Double value = result.figures().get(name);
-    assertNotNull(value, () -> "there is no figure " + name + ": " + report(result));
+    assertNotNull(value, () -> "no figure " + name + " in " + report(result));
     return value;
   }
 
   static void assertFigure(double expected, ExperimentResult result, String name) {
-    assertEquals(expected, figure(result, name), () -> name + " of " + report(result));
+    assertEquals(expected, figure(result, name), () -> name + " in " + report(result));
   }
 
   static void assertFigureBelow(double limit, ExperimentResult result, String name) {
@@ -38,7 +38,7 @@
         () -> name + " is " + value + ", not above " + limit + ": " + report(result));
   }
 
-  /** No try and no write ran more than once. */
+  /** Asserts that no try and no write was executed more than once. */
   static void assertNoDuplicates(ExperimentResult result) {
     assertFigure(0, result, ReportNames.DUPLICATED_TRIES);
     assertFigure(0, result, ReportNames.DUPLICATED_WRITES);
--- a/testbed/src/test/java/rushwood/testbed/MalformedEndpointListTest.java
+++ b/testbed/src/test/java/rushwood/testbed/MalformedEndpointListTest.java
@@ -15,7 +15,7 @@
 import rushwood.testbed.load.ClusterMember;
 import rushwood.testbed.standin.StandinDiscovery;
 
-/** A host that is announced as leaving is drained, whatever form the agents' lists have. */
+/** A host that is announced as draining is drained even if the lists are indented or malformed. */
 class MalformedEndpointListTest {
   private DrainingCluster draining;
 
@@ -30,9 +30,9 @@
     draining.close();
   }
 
-  /** Over many lines, as a full list and on a watch. */
+  /** The list spans many lines, on a watch and as a full list. */
   @Test
-  void announcedInAnIndentedList() throws Exception {
+  void announcedInIndentedList() throws Exception {
     draining.changeAgents(agent -> agent.rewriteResponses(StandinDiscovery::indent));
     draining.assertDrainedBy(() -> draining.announce(Endpoint.State.DRAINING));
     draining.announceReady();
@@ -43,9 +43,9 @@
         });
   }
 
-  /** Malformed in ways that leave the host's id and state readable. */
+  /** The list is malformed, but the host's id and state are readable. */
   @Test
-  void announcedInTheReadablePartOfAMalformedList() throws Exception {
+  void announcedInReadablePartOfMalformedList() throws Exception {
     String drainedId = "\"id\":\"" + DRAINED_HOST + "\"";
     List<UnaryOperator<String>> malformations =
         List.of(
@@ -67,31 +67,31 @@
   }
 
   /**
-   * After an empty, a huge, an unreadable list, one whose rest does not come for long, and a
-   * version that goes back.
+   * The host is announced after an empty, huge, unreadable or truncated list, and after the list's
+   * version has gone back.
    */
   @Test
-  void announcedAfterAnUnreadableList() throws Exception {
-    String huge =
+  void announcedAfterUnreadableList() throws Exception {
+    String hugeList =
         IntStream.range(0, 100_000)
             .mapToObj(i -> "{\"id\":\"y" + i + "\"}")
             .collect(Collectors.joining(",", "{\"version\":1,\"full\":true,\"servers\":[", "]}"));
-    List<String> unreadable =
+    List<String> unreadableLists =
         List.of(
             "",
             "nonsense",
             "{}",
             "[1]",
             "{\"version\":9,\"full\":true,\"servers\":{}}",
-            huge,
+            hugeList,
             "{\"version\":9,\"full\":true,\"servers\":[" + " ".repeat(1 << 20));
-    for (String list : unreadable) {
+    for (String list : unreadableLists) {
       draining.changeAgents(
           agent -> {
             agent.rewriteResponses(text -> list);
             agent.resetConnections();
           });
-      Thread.sleep(150); // the routers ask again and read it
+      Thread.sleep(150); // the routers reconnect and read the list
       draining.announce(Endpoint.State.DRAINING);
       draining.assertDrainedBy(() -> draining.changeAgents(StandinDiscovery::stopRewriting));
       draining.announceReady();
--- a/testbed/src/test/java/rushwood/testbed/OverloadOnSocketsTest.java
+++ b/testbed/src/test/java/rushwood/testbed/OverloadOnSocketsTest.java
@@ -15,9 +15,9 @@
 import rushwood.testbed.load.ReportNames;
 import rushwood.testbed.report.ReportWriter;
 
-/** Hard cases of overload on sockets, against a router in a process of its own. */
+/** Overload experiments on sockets against a router process. */
 class OverloadOnSocketsTest {
-  /** Roles come from the hosts where discovery says nothing. */
+  /** The router learns the hosts' roles from the hosts while discovery sends no changes. */
   @Test
   void everyClientIsServedWhileDiscoveryIsSilent() throws Exception {
     ExperimentResult result = runOnSockets(read("list-silent"));
@@ -26,7 +26,9 @@
     assertNoDuplicates(result);
   }
 
-  /** SIGTERM during overload: what was accepted has its one answer, the rest is rejected. */
+  /**
+   * SIGTERM during overload: each accepted request gets exactly one answer, others are rejected.
+   */
   @Test
   void routerStopsInOrderUnderOverload() throws Exception {
     ExperimentResult result = runOnSockets(read("stopped-in-storm"));
@@ -39,7 +41,7 @@
     assertFigureAbove(0.3, result, ofPopulation(0, ReportNames.SHARE_SUCCEEDED));
   }
 
-  /** 2,000 clients within a second while the primary crashes and comes back cold. */
+  /** 2,000 clients arrive within a second while the primary crashes and restarts cold. */
   @Test
   void twoThousandClientsAreServedWhileThePrimaryRestarts() throws Exception {
     ExperimentResult result = runOnSockets(read("primary-dies-2000"));
--- a/testbed/src/test/java/rushwood/testbed/OverloadSimulationTest.java
+++ b/testbed/src/test/java/rushwood/testbed/OverloadSimulationTest.java
@@ -20,12 +20,11 @@
 import rushwood.testbed.load.ReportNames;
 import rushwood.testbed.report.ReportWriter;
 
-/** Hard cases of overload in virtual time, with overload control and without it. */
+/** Overload experiments in virtual time, with overload control and without it. */
 class OverloadSimulationTest {
-  /** All hosts restart at once, and one again under overload. */
+  /** All hosts restart at once, and one of them restarts again under overload. */
   @Test
-  void coldHostsStayUpAndHostsThatAreDownGetFewConnects()
-      throws IOException, InvalidConfigException {
+  void coldHostsStayUpAndDownHostsGetFewConnects() throws IOException, InvalidConfigException {
     ExperimentResult result = simulate(read("cold-again"));
     assertFigure(1, result, ReportNames.SHARE_SUCCEEDED);
     assertFigure(0, result, ReportNames.OVERLOAD_CRASHES);
@@ -36,9 +35,9 @@
     assertFigureAbove(1000, uncontrolled, ReportNames.CONNECTS_WHILE_DOWN);
   }
 
-  /** Clients that honor a long Retry-After come back when there is room for them. */
+  /** Clients that honor a long Retry-After return at a time for which capacity is reserved. */
   @Test
-  void threeTriesSufficeWithReservedReturns() throws IOException, InvalidConfigException {
+  void threeTriesSufficeWithReservedRetryAfter() throws IOException, InvalidConfigException {
     ExperimentResult result = simulate(read("long-waits"));
     ExperimentResult uncontrolled = simulateWithoutOverloadControl(read("long-waits"));
     assertFigure(1, result, ReportNames.SHARE_SUCCEEDED);
@@ -48,41 +47,46 @@
   }
 
   @Test
-  void groupBesideAnOverloadedOneHasNoRejections() throws IOException, InvalidConfigException {
+  void overloadOfOneGroupCausesNoRejectionsInAnother() throws IOException, InvalidConfigException {
     ExperimentResult result = simulate(read("two-groups"));
     assertFigureAbove(1000, result, ReportNames.rejectedOfGroup(0));
-    String rejectedOfOther = ReportNames.rejectedOfGroup(1);
+    String rejectedOfSecondGroup = ReportNames.rejectedOfGroup(1);
     assertFalse(
-        result.figures().containsKey(rejectedOfOther), () -> "figures: " + result.figures());
+        result.figures().containsKey(rejectedOfSecondGroup), () -> "figures: " + result.figures());
   }
 
-  /** Twice the usual load, which the hosts bear. */
+  /** The load doubles, but stays within the hosts' capacity. */
   @Test
-  void peakWithinCapacityIsNoOverload() throws IOException, InvalidConfigException {
+  void peakWithinCapacityIsNotOverload() throws IOException, InvalidConfigException {
     ExperimentResult result = simulate(read("honest-peak"));
     assertFigure(1, result, ReportNames.SHARE_SUCCEEDED);
     assertFigure(0, result, ReportNames.REJECTED);
     assertFalse(result.timeSeries().containsKey(ReportNames.OVERLOAD_CHANGES_SERIES));
   }
 
-  /** Hosts hang for two seconds; clients retry at once and ignore Retry-After. */
+  /** Hosts hang for two seconds; the clients retry immediately and ignore Retry-After. */
   @Test
-  void overloadEndsSoonAfterItsCause() throws IOException, InvalidConfigException {
+  void overloadEndsSoonAfterHostsRecover() throws IOException, InvalidConfigException {
     ExperimentResult result = simulate(read("hosts-hang"));
     assertFigure(1, result, ReportNames.SHARE_SUCCEEDED);
     List<Double> goodput = result.timeSeries().get(ReportNames.GOODPUT_SERIES).values();
-    double late = goodput.subList(100, 140).stream().mapToDouble(Double::doubleValue).sum() / 4;
+    double lateGoodput =
+        goodput.subList(100, 140).stream().mapToDouble(Double::doubleValue).sum() / 4;
     assertTrue(
-        late > 0.97 * 800,
-        late + " a second of 800 that come, five seconds after the end of the cause");
+        lateGoodput > 0.97 * 800,
+        lateGoodput
+            + " of 800 requests per second are served five seconds after the hosts recovered");
     assertTrue(
-        result.timeSeries().containsKey(ReportNames.OVERLOAD_CHANGES_SERIES), "it was detected");
+        result.timeSeries().containsKey(ReportNames.OVERLOAD_CHANGES_SERIES),
+        "no overload was detected");
     List<Double> changes = result.timeSeries().get(ReportNames.OVERLOAD_CHANGES_SERIES).values();
-    assertTrue(changes.size() < 120, "the last change, to normal, within seven seconds of the end");
+    assertTrue(
+        changes.size() < 120,
+        "the overload state still changed seven seconds after the hosts recovered");
   }
 
   @Test
-  void sameSeedGivesTheSameResult() throws IOException, InvalidConfigException {
+  void sameSeedGivesSameResult() throws IOException, InvalidConfigException {
     String first = ReportWriter.toJson(simulate(read("primary-dies-2000").withRouters(3)));
     assertEquals(first, ReportWriter.toJson(simulate(read("primary-dies-2000").withRouters(3))));
   }
--- a/testbed/src/test/java/rushwood/testbed/load/ExperimentTest.java
+++ b/testbed/src/test/java/rushwood/testbed/load/ExperimentTest.java
@@ -17,11 +17,12 @@
           + "\"manners\":\"polite\",\"outer\":1}]";
 
   @Test
-  void invalidFilesAreRejectedByField() {
-    String head = "{\"name\":\"a\",\"seed\":1,\"lasts\":";
-    String rest = ",\"hosts\":[{\"id\":\"a\",\"rate\":1}]," + CLIENTS + "}";
+  void rejectsInvalidFilesWithReason() {
+    String beforeDuration = "{\"name\":\"a\",\"seed\":1,\"lasts\":";
+    String afterDuration = ",\"hosts\":[{\"id\":\"a\",\"rate\":1}]," + CLIENTS + "}";
     for (Map.Entry<String, String> invalid :
-        Map.of("{}", "required", head + 0 + rest, "lasts", "[", "no JSON").entrySet()) {
+        Map.of("{}", "required", beforeDuration + 0 + afterDuration, "lasts", "[", "not valid JSON")
+            .entrySet()) {
       InvalidExperimentException rejected =
           assertThrows(InvalidExperimentException.class, () -> Experiment.parse(invalid.getKey()));
       assertTrue(rejected.getMessage().contains(invalid.getValue()), rejected.getMessage());
@@ -30,7 +31,7 @@
   }
 
   @Test
-  void everyKeyOfTheFileIsRead() throws IOException {
+  void readsEveryKey() throws IOException {
     Experiment experiment =
         Experiment.parse(
             """
@@ -72,22 +73,22 @@
   }
 
   @Test
-  void everyEventAndRetryBehaviorHasItsWord() throws IOException {
+  void readsEveryEventTypeAndRetryBehavior() throws IOException {
     List<String> events =
         List.of("die", "start", "promote", "demote", "hang", "wake", "silence", "list", "term");
     for (int i = 0; i < events.size(); i++) {
       String event = "\"events\":[{\"at\":0,\"what\":\"" + events.get(i) + "\"}]";
       assertEquals(ScheduledEvent.Type.values()[i], parse(event, "polite").events().get(0).type());
     }
-    List<String> manners = List.of("polite", "one_clock", "rude");
-    for (int i = 0; i < manners.size(); i++) {
-      Experiment experiment = parse("\"events\":[]", manners.get(i));
+    List<String> retryBehaviors = List.of("polite", "one_clock", "rude");
+    for (int i = 0; i < retryBehaviors.size(); i++) {
+      Experiment experiment = parse("\"events\":[]", retryBehaviors.get(i));
       assertEquals(RetryBehavior.values()[i], experiment.populations().get(0).retryBehavior());
     }
   }
 
   @Test
-  void whatIsLeftOutHasItsDefault() throws IOException {
+  void fillsInDefaults() throws IOException {
     Experiment experiment = parse("\"events\":[]", "polite");
     assertEquals(8000, experiment.maxSockets());
     assertEquals(1, experiment.routerCount());
@@ -97,12 +98,12 @@
         experiment.hosts());
   }
 
-  private static Experiment parse(String events, String manners) throws IOException {
+  private static Experiment parse(String events, String retryBehavior) throws IOException {
     return Experiment.parse(
         "{\"name\":\"a\",\"seed\":1,\"lasts\":1,\"hosts\":[{\"id\":\"a\",\"rate\":1}],"
             + events
             + ","
-            + CLIENTS.replace("polite", manners)
+            + CLIENTS.replace("polite", retryBehavior)
             + "}");
   }
 }
--- a/testbed/src/test/java/rushwood/testbed/load/ReportNamesTest.java
+++ b/testbed/src/test/java/rushwood/testbed/load/ReportNamesTest.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Saved reports and the scripts that read them have these names, so none may change. */
+/** Guards the names in reports, which saved reports and the scripts that read them use. */
 class ReportNamesTest {
   private static final Map<String, String> NAMES =
       Map.ofEntries(
@@ -47,7 +47,7 @@
           Map.entry("FALSE_SUCCESSES", "untrue_answers"));
 
   @Test
-  void namesStayAsSavedReportsHaveThem() throws IllegalAccessException {
+  void constantsMatchSavedReports() throws IllegalAccessException {
     Map<String, Object> actual = new TreeMap<>();
     for (Field field : ReportNames.class.getDeclaredFields()) {
       if (Modifier.isPublic(field.getModifiers())) {
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void namesOfHostsGroupsAndPopulationsStayAsSavedReportsHaveThem() {
+  void namesWithParametersMatchSavedReports() {
     assertEquals("crowd1.clients", ReportNames.ofPopulation(1, ReportNames.CLIENTS));
     assertEquals("h1.falls", ReportNames.ofHost("h1", ReportNames.OVERLOAD_CRASHES));
     assertEquals("turned_back_of_group_2", ReportNames.rejectedOfGroup(2));
