--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -40,8 +40,9 @@
 import rushwood.testbed.model.TestbedRequestClass;
 
 /**
- * Measures what overload control costs per request: the routing policy with overload control, the
- * policy alone, and two parts of overload control by themselves. Run by JMH's main class.
+ * Measures what overload control costs per request, in nanoseconds: the routing policy with
+ * overload control, the policy alone, and two parts of overload control by themselves. Run by JMH's
+ * main class.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -254,8 +254,8 @@
     }
 
     /**
-     * Resends a read once, because it may have crossed the router's closing of the connection; a
-     * write may have run.
+     * Resends a read once, because the router may have closed the connection before it received the
+     * query; a write may have run.
      */
     private void resendOrEnd() {
       if (hasSentQuery() && resends < MAX_RESENDS && !spec.isWrite()) {
