--- a/cli/src/test/java/rushwood/cli/KnownRedTest.java
+++ b/cli/src/test/java/rushwood/cli/KnownRedTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The scripts of continuous integration: {@code .ci/known-red} checks the list of the tests that
- * are known to fail, {@code .ci/run} passes over them. Maven is replaced by a script that prints
- * its arguments and the file of exclusions.
+ * Tests the scripts of continuous integration: {@code .ci/known-red} validates the list of tests
+ * that are known to fail, and {@code .ci/run} excludes these tests. Maven is replaced by a script
+ * that prints its arguments and the exclusions file.
  */
 class KnownRedTest {
   private static final Path REPOSITORY = Path.of("..");
-  private static final String LIST = "KNOWN-RED.txt";
-  private static final String REST = " | mvn test, seed: none | 1 of 9 runs | issue 40";
-  private static final String VALID = "core QueueTest#keepsOrder" + REST;
+  private static final String LIST_FILE = "KNOWN-RED.txt";
+  private static final String DETAILS = " | mvn test, seed: none | 1 of 9 runs | issue 40";
+  private static final String VALID_ENTRY = "core QueueTest#keepsOrder" + DETAILS;
 
   @TempDir Path root;
 
-  /** What a script did: all that it printed, and its exit code. */
+  /** The exit code of a script, and its standard output and standard error. */
   private record Result(int exitCode, String output) {}
 
   @BeforeEach
-  void createModules() throws IOException {
+  void createRepository() throws IOException {
     writeTestClass("core", "QueueTest", "@Test\n  void keepsOrder() {");
     writeTestClass(
         "tools",
@@ -59,13 +59,13 @@
     return new Result(process.waitFor(), output);
   }
 
-  /** Checks a list that consists of these lines. */
-  private Result check(String... lines) throws Exception {
-    Path list = Files.write(root.resolve(LIST), List.of(lines));
-    return check(root, list);
+  /** Runs {@code .ci/known-red} with a list of these lines. */
+  private Result checkList(String... lines) throws Exception {
+    Path list = Files.write(root.resolve(LIST_FILE), List.of(lines));
+    return checkList(root, list);
   }
 
-  private static Result check(Path modules, Path list) throws Exception {
+  private static Result checkList(Path modules, Path list) throws Exception {
     return execute(
         new ProcessBuilder(
             "bash",
@@ -75,15 +75,15 @@
   }
 
   private void assertRejected(String line, String reason) throws Exception {
-    Result result = check("# a comment", VALID, line);
+    Result result = checkList("# a comment", VALID_ENTRY, line);
     assertEquals(1, result.exitCode(), result.output());
     assertEquals(
-        root.resolve(LIST) + ":3: " + reason + ": " + line + "\n",
+        root.resolve(LIST_FILE) + ":3: " + reason + ": " + line + "\n",
         result.output(),
         "the line and the reason, and no pattern");
   }
 
-  private Result runWithMavenReplaced(int mavenExitCode) throws Exception {
+  private Result runWithFakeMaven(int mavenExitCode) throws Exception {
     Path folder = Files.createDirectories(root.resolve("bin"));
     Path maven =
         Files.writeString(
@@ -94,96 +94,99 @@
                 + "\n");
     assertTrue(maven.toFile().setExecutable(true));
     ProcessBuilder builder = new ProcessBuilder("bash", root.resolve(".ci/run").toString());
-    builder.environment().merge("PATH", "", (path, none) -> folder + ":" + path);
+    builder.environment().merge("PATH", "", (path, ignored) -> folder + ":" + path);
     return execute(builder);
   }
 
   @Test
-  void theListOfThisRepositoryIsValid() throws Exception {
-    Path list = REPOSITORY.resolve(LIST);
+  void listOfThisRepositoryIsValid() throws Exception {
+    Path list = REPOSITORY.resolve(LIST_FILE);
     if (Files.exists(list)) {
-      Result result = check(REPOSITORY, list);
+      Result result = checkList(REPOSITORY, list);
       assertEquals(0, result.exitCode(), result.output());
     }
   }
 
   @Test
-  void validEntriesBecomePatterns() throws Exception {
-    Result result = check("# a comment", "", VALID, "tools ParserTest#reads" + REST);
+  void validEntriesAreTranslatedToPatterns() throws Exception {
+    Result result = checkList("# a comment", "", VALID_ENTRY, "tools ParserTest#reads" + DETAILS);
     assertEquals(
         new Result(0, "store.queue.QueueTest#keepsOrder\nstore.queue.ParserTest#reads\n"), result);
   }
 
   @Test
   void missingModule() throws Exception {
-    assertRejected("cores QueueTest#keepsOrder" + REST, "names no module with tests: cores");
+    assertRejected("cores QueueTest#keepsOrder" + DETAILS, "no such module with tests: cores");
   }
 
   @Test
   void missingClass() throws Exception {
     assertRejected(
-        "tools QueueTest#keepsOrder" + REST, "names 0 test classes, not one: QueueTest in tools");
+        "tools QueueTest#keepsOrder" + DETAILS,
+        "expected one test class, found 0: QueueTest in tools");
   }
 
-  /** Also a method that is no test, and the beginning of a name. */
+  /** A method that is not a test, or a prefix of a test's name, is rejected as well. */
   @Test
   void missingMethod() throws Exception {
     for (String method : List.of("keepsTime", "helper", "keeps")) {
       assertRejected(
-          "core QueueTest#" + method + REST,
-          "names no test method: QueueTest#" + method + " in core");
+          "core QueueTest#" + method + DETAILS,
+          "no such test method: QueueTest#" + method + " in core");
     }
   }
 
-  /** Surefire would pass over the test in both modules. */
+  /** Surefire would exclude the test in both modules, as patterns do not name a module. */
   @Test
-  void classThatStandsInSeveralModules() throws Exception {
+  void classInSeveralModules() throws Exception {
     writeTestClass("tools", "QueueTest", "@Test\n  void keepsOrder() {");
-    Result result = check(VALID);
+    Result result = checkList(VALID_ENTRY);
     assertEquals(1, result.exitCode(), result.output());
-    assertTrue(result.output().contains("stands in several modules: QueueTest"), result.output());
+    assertTrue(
+        result.output().contains("test class exists in several modules: QueueTest"),
+        result.output());
   }
 
   @Test
-  void repeatedEntry() throws Exception {
-    assertRejected(VALID, "repeats the entry of store.queue.QueueTest#keepsOrder");
+  void duplicateEntry() throws Exception {
+    assertRejected(VALID_ENTRY, "duplicate entry for store.queue.QueueTest#keepsOrder");
   }
 
   @Test
   void malformedLine() throws Exception {
     String reason =
-        "is not of the form \"module Class#method | command and seed | what was seen"
+        "not of the form \"module Class#method | command and seed | what was seen"
             + " | issue NUMBER\"";
     for (String line :
         List.of(
             "core QueueTest#keepsOrder",
-            "QueueTest#keepsOrder" + REST,
-            "core QueueTest" + REST,
-            "core QueueTest#*" + REST,
+            "QueueTest#keepsOrder" + DETAILS,
+            "core QueueTest" + DETAILS,
+            "core QueueTest#*" + DETAILS,
             "core QueueTest#keepsOrder | mvn test | issue 40",
             "core QueueTest#keepsOrder | mvn test |  | issue 40",
             "core QueueTest#keepsOrder | mvn test | 1 of 9 runs | issue",
-            VALID + " | more")) {
+            VALID_ENTRY + " | more")) {
       assertRejected(line, reason);
     }
   }
 
   @Test
-  void plainRunWithoutEntries() throws Exception {
-    Result plain = new Result(0, "maven: -B verify\n");
-    assertEquals(plain, runWithMavenReplaced(0));
-    Files.writeString(root.resolve(LIST), "");
-    assertEquals(plain, runWithMavenReplaced(0));
-    Files.writeString(root.resolve(LIST), "# a comment\n");
-    assertEquals(plain, runWithMavenReplaced(0));
+  void runExcludesNothingWithoutEntries() throws Exception {
+    Result buildWithoutExclusions = new Result(0, "maven: -B verify\n");
+    assertEquals(buildWithoutExclusions, runWithFakeMaven(0));
+    Files.writeString(root.resolve(LIST_FILE), "");
+    assertEquals(buildWithoutExclusions, runWithFakeMaven(0));
+    Files.writeString(root.resolve(LIST_FILE), "# a comment\n");
+    assertEquals(buildWithoutExclusions, runWithFakeMaven(0));
   }
 
   @Test
-  void runPassesOverTheListedTestsAndPrintsThem() throws Exception {
-    Files.writeString(root.resolve(LIST), "# a comment\n" + VALID + "\n");
-    Result result = runWithMavenReplaced(0);
+  void runExcludesListedTestsAndPrintsThem() throws Exception {
+    Files.writeString(root.resolve(LIST_FILE), "# a comment\n" + VALID_ENTRY + "\n");
+    Result result = runWithFakeMaven(0);
     assertEquals(0, result.exitCode(), result.output());
-    String printed = "Passed over, as KNOWN-RED.txt lists them:\n" + VALID + "\n";
+    String printed = "Tests excluded because KNOWN-RED.txt lists them:\n" + VALID_ENTRY + "\n";
     String exclusions = "**/*$*\nstore.queue.QueueTest#keepsOrder\n";
     assertEquals(
         printed + "maven: -B verify -Dsurefire.excludesFile=FILE\n" + exclusions + printed,
@@ -191,17 +194,17 @@
   }
 
   /**
-   * A failure of the build or of the check is the script's own; nothing is built after the latter.
+   * {@code .ci/run} exits with Maven's code, or with 1 before Maven starts if the list is invalid.
    */
   @Test
-  void runFails() throws Exception {
-    assertEquals(3, runWithMavenReplaced(3).exitCode());
-    Files.writeString(root.resolve(LIST), VALID);
-    assertEquals(3, runWithMavenReplaced(3).exitCode());
-    Files.writeString(root.resolve(LIST), "core QueueTest#missing" + REST);
-    Result invalid = runWithMavenReplaced(0);
+  void runReturnsExitCodeOfFailedStep() throws Exception {
+    assertEquals(3, runWithFakeMaven(3).exitCode());
+    Files.writeString(root.resolve(LIST_FILE), VALID_ENTRY);
+    assertEquals(3, runWithFakeMaven(3).exitCode());
+    Files.writeString(root.resolve(LIST_FILE), "core QueueTest#missing" + DETAILS);
+    Result invalid = runWithFakeMaven(0);
     assertEquals(1, invalid.exitCode());
     assertTrue(
-        invalid.output().startsWith("KNOWN-RED.txt:1: names no test method"), invalid.output());
+        invalid.output().startsWith("KNOWN-RED.txt:1: no such test method"), invalid.output());
   }
 }
