--- a/cli/src/main/java/rushwood/cli/CheckCommand.java
+++ b/cli/src/main/java/rushwood/cli/CheckCommand.java
@@ -16,45 +16,51 @@
 import picocli.CommandLine.Parameters;
 import rushwood.testbed.load.Experiment;
 
-/** Checks files against a JSON schema without starting anything; exit code 2 if any is invalid. */
+/**
+ * {@code check}: validates files against a JSON schema without starting a router. The exit code is
+ * 2 if a file is invalid or cannot be read.
+ */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
     description =
-        "Checks the operator's settings against their schema, or an experiment of the testbed.")
+        "Validates JSON files, by default the operator's settings, against a JSON schema.")
 final class CheckCommand implements Callable<Integer> {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  @Parameters(arity = "0..*", paramLabel = "FILE", description = "Default: deploy/rushwood.json.")
+  @Parameters(
+      arity = "0..*",
+      paramLabel = "FILE",
+      description = "Files to validate. Default: deploy/rushwood.json.")
   private List<Path> files = List.of(Path.of("deploy/rushwood.json"));
 
-  @Option(names = "--schema", description = "Default: deploy/rushwood.schema.json.")
+  @Option(names = "--schema", description = "JSON schema. Default: deploy/rushwood.schema.json.")
   private Path schema = Path.of("deploy/rushwood.schema.json");
 
-  @Option(names = "--json", description = "Every fault as JSON on standard output.")
+  @Option(names = "--json", description = "Prints all errors as a JSON array on standard output.")
   private boolean json;
 
-  /** What is wrong with a file, in one line. */
-  private record Fault(Path file, String reason) {}
+  /** One reason why a file is invalid or cannot be read. */
+  private record ValidationError(Path file, String reason) {}
 
   @Override
   public Integer call() {
-    List<Fault> faults = new ArrayList<>();
+    List<ValidationError> errors = new ArrayList<>();
     for (Path file : files) {
-      findFaults(file).forEach(reason -> faults.add(new Fault(file, reason)));
+      findErrors(file).forEach(reason -> errors.add(new ValidationError(file, reason)));
     }
     if (json) {
-      System.out.println(toJson(faults));
+      System.out.println(toJson(errors));
     } else {
-      faults.forEach(
-          fault -> System.err.println("rushwood: " + fault.file() + ": " + fault.reason()));
+      errors.forEach(
+          error -> System.err.println("rushwood: " + error.file() + ": " + error.reason()));
     }
-    return faults.isEmpty() ? Rushwood.EXIT_DONE : Rushwood.EXIT_INVALID_INPUT;
+    return errors.isEmpty() ? Rushwood.EXIT_SUCCESS : Rushwood.EXIT_INVALID_INPUT;
   }
 
-  private List<String> findFaults(Path file) {
-    try (InputStream schemaStream = Files.newInputStream(FormerPaths.resolve(schema))) {
-      JsonNode document = MAPPER.readTree(Files.readString(FormerPaths.resolve(file)));
+  private List<String> findErrors(Path file) {
+    try (InputStream schemaStream = Files.newInputStream(LegacyPaths.resolve(schema))) {
+      JsonNode document = MAPPER.readTree(Files.readString(LegacyPaths.resolve(file)));
       return Experiment.violations(document, schemaStream);
     } catch (IOException e) {
       String message = Objects.requireNonNullElse(e.getMessage(), "");
@@ -62,10 +68,10 @@
     }
   }
 
-  private static ArrayNode toJson(List<Fault> faults) {
+  private static ArrayNode toJson(List<ValidationError> errors) {
     ArrayNode array = MAPPER.createArrayNode();
-    for (Fault fault : faults) {
-      array.addObject().put("file", fault.file().toString()).put("fault", fault.reason());
+    for (ValidationError error : errors) {
+      array.addObject().put("file", error.file().toString()).put("fault", error.reason());
     }
     return array;
   }
--- a/cli/src/main/java/rushwood/cli/InvalidInputException.java
+++ b/cli/src/main/java/rushwood/cli/InvalidInputException.java
@@ -1,6 +1,9 @@
 package rushwood.cli;
 
-/** An argument or a file that cannot be used; the message is one line that names it and why. */
+/**
+ * Thrown when a command-line argument or an input file is invalid. The message is one line with the
+ * argument or file and the reason.
+ */
 final class InvalidInputException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/cli/src/main/java/rushwood/cli/LegacyPaths.java
+++ b/cli/src/main/java/rushwood/cli/LegacyPaths.java
@@ -4,35 +4,38 @@
 import java.nio.file.Path;
 
 /**
- * Finds files by the paths of earlier versions, in which the module {@code testbed/} was {@code
+ * Resolves file paths of earlier versions, in which the module {@code testbed/} was named {@code
  * lab/}.
  */
-final class FormerPaths {
-  private static final Path FORMER_MODULE = Path.of("lab");
-  private static final Path MODULE = Path.of("testbed");
+final class LegacyPaths {
+  private static final Path LEGACY_MODULE = Path.of("lab");
+  private static final Path CURRENT_MODULE = Path.of("testbed");
 
-  private FormerPaths() {}
+  private LegacyPaths() {}
 
-  /** The given path; if nothing is there, what now stands where its {@code lab/} used to be. */
-  static Path resolve(Path given) {
-    if (Files.exists(given)) {
-      return given;
+  /**
+   * Returns the path if a file exists there. Otherwise returns the path with one {@code lab/}
+   * element replaced by {@code testbed/} if that file exists, else the path unchanged.
+   */
+  static Path resolve(Path path) {
+    if (Files.exists(path)) {
+      return path;
     }
-    for (int i = 0; i < given.getNameCount(); i++) {
-      if (given.getName(i).equals(FORMER_MODULE)) {
-        Path moved = replaceName(given, i);
+    for (int i = 0; i < path.getNameCount(); i++) {
+      if (path.getName(i).equals(LEGACY_MODULE)) {
+        Path moved = replaceName(path, i);
         if (Files.exists(moved)) {
           return moved;
         }
       }
     }
-    return given;
+    return path;
   }
 
   private static Path replaceName(Path path, int index) {
     Path replaced = path.isAbsolute() ? path.getRoot() : Path.of("");
     for (int i = 0; i < path.getNameCount(); i++) {
-      replaced = replaced.resolve(i == index ? MODULE : path.getName(i));
+      replaced = replaced.resolve(i == index ? CURRENT_MODULE : path.getName(i));
     }
     return replaced;
   }
--- a/cli/src/main/java/rushwood/cli/ReportOptions.java
+++ b/cli/src/main/java/rushwood/cli/ReportOptions.java
@@ -11,22 +11,27 @@
 import rushwood.testbed.load.ExperimentResult;
 import rushwood.testbed.report.ReportWriter;
 
-/** The options that say where an experiment's results go, shared by the testbed's commands. */
+/** Output options that the testbed's commands share, and the output of the results. */
 final class ReportOptions {
   private static final String STANDARD_OUTPUT = "-";
 
-  @Option(names = "--json", description = "Where the results go as JSON; - for standard output.")
+  @Option(names = "--json", description = "File for the results as JSON; - for standard output.")
   private @Nullable String json;
 
-  @Option(names = "--html", description = "Where a report with plots goes.")
+  @Option(names = "--html", description = "File for an HTML report with plots.")
   private @Nullable Path html;
 
-  /** Prints the figures, or the JSON if that goes to standard output, and writes the files. */
+  /**
+   * Writes the results to the files that the options name. Standard output gets the JSON if {@code
+   * --json} is {@code -}, otherwise the figures and the counters other than zero as text.
+   *
+   * @param results the results by label, in the order of the output
+   */
   void write(String experimentName, Map<String, ExperimentResult> results) throws IOException {
     if (STANDARD_OUTPUT.equals(json)) {
       System.out.print(toJson(results));
     } else {
-      results.forEach((label, result) -> printFigures(experimentName + ", " + label, result));
+      results.forEach((label, result) -> printAsText(experimentName + ", " + label, result));
       if (json != null) {
         Files.writeString(Path.of(json), toJson(results));
       }
@@ -44,7 +49,7 @@
     return "{" + String.join(",\n", documents) + "}\n";
   }
 
-  private static void printFigures(String title, ExperimentResult result) {
+  private static void printAsText(String title, ExperimentResult result) {
     System.out.println(title);
     result.figures().forEach((name, value) -> System.out.printf("  %-40s %.4g%n", name, value));
     result
--- a/cli/src/main/java/rushwood/cli/Rushwood.java
+++ b/cli/src/main/java/rushwood/cli/Rushwood.java
@@ -6,14 +6,14 @@
 import picocli.CommandLine.IExecutionExceptionHandler;
 
 /**
- * The command line's entry point. Exit codes: 0 done, 1 failed, 2 an argument or a file is invalid.
- * A failure is one line on standard error.
+ * Entry point of the command line. Exit codes: 0 success, 1 failure, 2 invalid argument or file. An
+ * exception of a command is reported as one line on standard error.
  */
 @Command(
     name = "rushwood",
     mixinStandardHelpOptions = true,
     version = "rushwood 0.1.0",
-    description = "Routes requests to a replicated store, and measures how well.",
+    description = "Router for a replicated database store, and a testbed to measure it.",
     subcommands = {
       Rushwood.ServeCommand.class,
       Rushwood.AdapterCommand.class,
@@ -22,18 +22,23 @@
       CommandLine.HelpCommand.class
     })
 public final class Rushwood implements Runnable {
-  /** What {@link #run} returns for a command that goes on and will end the process itself. */
+  /**
+   * Returned by {@link #run} instead of an exit code if the process must not exit, because a router
+   * serves on other threads until SIGTERM.
+   */
   static final int STILL_RUNNING = -1;
 
-  static final int EXIT_DONE = 0;
+  static final int EXIT_SUCCESS = 0;
   static final int EXIT_INVALID_INPUT = 2;
-  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_FAILURE = 1;
 
   @SuppressWarnings("NullAway.Init") // set by picocli
   @CommandLine.Spec
   private CommandLine.Model.CommandSpec spec;
 
-  /** Runs the command that the arguments name, and exits unless it goes on in the background. */
+  /**
+   * Runs the command that the arguments name, and exits with its code unless a router was started.
+   */
   public static void main(String[] args) {
     int exitCode = run(args);
     if (exitCode != STILL_RUNNING) {
@@ -41,14 +46,18 @@
     }
   }
 
-  /** Runs the command that the arguments name and returns its exit code. */
+  /**
+   * Runs the command that the arguments name and returns its exit code or {@link #STILL_RUNNING}.
+   */
   static int run(String... args) {
-    IExecutionExceptionHandler printOneLine =
+    IExecutionExceptionHandler printExceptionAsOneLine =
         (exception, commandLine, parseResult) -> {
           commandLine.getErr().println("rushwood: " + exception.getMessage());
-          return exception instanceof InvalidInputException ? EXIT_INVALID_INPUT : EXIT_FAILED;
+          return exception instanceof InvalidInputException ? EXIT_INVALID_INPUT : EXIT_FAILURE;
         };
-    return new CommandLine(new Rushwood()).setExecutionExceptionHandler(printOneLine).execute(args);
+    return new CommandLine(new Rushwood())
+        .setExecutionExceptionHandler(printExceptionAsOneLine)
+        .execute(args);
   }
 
   @Override
@@ -56,12 +65,13 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
   }
 
-  /** {@code serve}: one router, configured by the file that {@code NODE_CONFIG} names. */
+  /** {@code serve}: runs one router, configured by the file that {@code NODE_CONFIG} names. */
   @Command(
       name = "serve",
       mixinStandardHelpOptions = true,
       description =
-          "Runs one router, configured by NODE_CONFIG; bin/rushwood starts it with the operator's flags.")
+          "Runs one router, configured by the file that NODE_CONFIG names."
+              + " bin/rushwood starts it with the JVM flags of deploy/balancer.toml.")
   static final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
@@ -70,11 +80,12 @@
     }
   }
 
-  /** {@code adapter}: the routing policy behind the simulator's line protocol. */
+  /** {@code adapter}: runs the routing policy behind the simulator's line protocol. */
   @Command(
       name = "adapter",
       mixinStandardHelpOptions = true,
-      description = "The routing policy on the simulator's wire, on standard input and output.")
+      description =
+          "Runs the routing policy behind the simulator's protocol on standard input and output.")
   static final class AdapterCommand implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
--- a/cli/src/main/java/rushwood/cli/TestbedCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedCommand.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine.Spec;
 import rushwood.testbed.load.Experiment;
 
-/** {@code testbed}, formerly {@code lab}: experiments on loopback sockets or in virtual time. */
+/** {@code testbed}, alias {@code lab}: runs experiments on loopback sockets or in virtual time. */
 @Command(
     name = "testbed",
     aliases = "lab",
     mixinStandardHelpOptions = true,
-    description = "Experiments against stand-ins on loopback.",
+    description = "Runs experiments on loopback sockets or in virtual time.",
     subcommands = {TestbedRunCommand.class, TestbedVirtualCommand.class})
 final class TestbedCommand implements Runnable {
   @SuppressWarnings("NullAway.Init") // set by picocli
@@ -25,10 +25,14 @@
     throw new ParameterException(spec.commandLine(), "a sub-command is missing");
   }
 
-  /** Reads an experiment's file; a path of earlier versions is followed to where it is now. */
+  /**
+   * Reads an experiment; the path may be one of earlier versions (see {@link LegacyPaths}).
+   *
+   * @throws InvalidInputException if the file cannot be read or is no valid experiment
+   */
   static Experiment readExperiment(Path file) throws InvalidInputException {
     try {
-      return Experiment.read(FormerPaths.resolve(file));
+      return Experiment.read(LegacyPaths.resolve(file));
     } catch (IOException e) {
       throw new InvalidInputException(file + ": " + e.getMessage());
     }
--- a/cli/src/main/java/rushwood/cli/TestbedRunCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedRunCommand.java
@@ -15,12 +15,15 @@
 import rushwood.testbed.load.SocketExperiment;
 import rushwood.testbed.standin.RouterProcess;
 
-/** {@code testbed run}: an experiment on sockets, once for each combination of jar and settings. */
+/**
+ * {@code testbed run}: runs an experiment on sockets, once for each combination of jar and
+ * settings.
+ */
 @Command(
     name = "run",
     mixinStandardHelpOptions = true,
     description =
-        "Plays an experiment on sockets, once for each build or settings file that is compared.")
+        "Runs an experiment on sockets, once for each combination of --jar and --settings.")
 final class TestbedRunCommand implements Callable<Integer> {
   @SuppressWarnings("NullAway.Init") // set by picocli
   @Parameters(index = "0", paramLabel = "EXPERIMENT", description = "The experiment's JSON file.")
@@ -29,20 +32,22 @@
   @Option(
       names = "--jar",
       paramLabel = "[LABEL=]JAR",
-      description = "A router's jar; several are compared.")
-  private List<String> jars = List.of("router/target/rushwood.jar");
+      description = "The router's jar; repeat to compare several.")
+  private List<String> jarArguments = List.of("router/target/rushwood.jar");
 
   @Option(
       names = "--settings",
       paramLabel = "[LABEL=]FILE",
-      description = "Operator's settings; several too.")
-  private List<String> settings = List.of("");
+      description = "Operator settings file; repeat to compare several.")
+  private List<String> settingsArguments = List.of("");
 
-  @Option(names = "--cpus", description = "Cores that the router may use, as taskset has it.")
+  @Option(
+      names = "--cpus",
+      description = "Cores that the router may use, as a CPU list of taskset; default: all.")
   private String cpus = "";
 
-  @Option(names = "--flag", description = "A flag of the router's virtual machine.")
-  private List<String> flags = List.of();
+  @Option(names = "--flag", description = "JVM flag of the router; may be repeated.")
+  private List<String> jvmFlags = List.of();
 
   @Mixin private final ReportOptions report = new ReportOptions();
 
@@ -50,16 +55,16 @@
   public Integer call() throws Exception {
     Experiment experiment = TestbedCommand.readExperiment(experimentFile);
     Map<String, ExperimentResult> results = new LinkedHashMap<>();
-    for (String jar : jars) {
-      for (String settingsFile : settings) {
+    for (String jar : jarArguments) {
+      for (String settings : settingsArguments) {
         RouterProcess.Build build =
-            new RouterProcess.Build(existingJar(jar), flags, valueOf(settingsFile), cpus);
-        String label = labelOf(jar) + (settings.size() > 1 ? " " + labelOf(settingsFile) : "");
+            new RouterProcess.Build(existingJar(jar), jvmFlags, valueOf(settings), cpus);
+        String label = labelOf(jar) + (settingsArguments.size() > 1 ? " " + labelOf(settings) : "");
         results.put(label, new SocketExperiment(experiment, build).run());
       }
     }
     report.write(experiment.name(), results);
-    return Rushwood.EXIT_DONE;
+    return Rushwood.EXIT_SUCCESS;
   }
 
   private static Path existingJar(String argument) throws InvalidInputException {
@@ -70,7 +75,7 @@
     return jar;
   }
 
-  /** The label of {@code LABEL=VALUE}, or the value itself where none is given. */
+  /** Returns the label of {@code LABEL=VALUE}, or the whole argument if it has no label. */
   private static String labelOf(String argument) {
     int equals = argument.indexOf('=');
     return equals < 0 ? argument : argument.substring(0, equals);
--- a/cli/src/main/java/rushwood/cli/TestbedVirtualCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedVirtualCommand.java
@@ -14,11 +14,13 @@
 import rushwood.testbed.load.ExperimentResult;
 import rushwood.testbed.simulation.Simulation;
 
-/** {@code testbed virtual}: an experiment in virtual time, with overload control and without it. */
+/**
+ * {@code testbed virtual}: runs an experiment in virtual time, with overload control and without.
+ */
 @Command(
     name = "virtual",
     mixinStandardHelpOptions = true,
-    description = "Plays an experiment in virtual time, with overload control and without it.")
+    description = "Runs an experiment in virtual time, with overload control and without.")
 final class TestbedVirtualCommand implements Callable<Integer> {
   @SuppressWarnings("NullAway.Init") // set by picocli
   @Parameters(index = "0", paramLabel = "EXPERIMENT", description = "The experiment's JSON file.")
@@ -27,30 +29,32 @@
   @Option(
       names = "--routers",
       split = ",",
-      description = "Numbers of routers instead of the file's.")
-  private List<Integer> routerCounts = List.of();
+      description =
+          "Router counts to run with, separated by commas; default: the count in the file.")
+  private List<Integer> requestedRouterCounts = List.of();
 
   @Option(
       names = "--clients",
-      description = "How many times the file's clients there are, hosts' rates too.")
-  private int clientFactor = 1;
+      description = "Factor for the number of clients and for the capacity of the hosts.")
+  private int loadFactor = 1;
 
   @Mixin private final ReportOptions report = new ReportOptions();
 
   @Override
   public Integer call() throws Exception {
-    Experiment experiment = TestbedCommand.readExperiment(experimentFile).scaledBy(clientFactor);
-    List<Integer> counts =
-        routerCounts.isEmpty() ? List.of(experiment.routerCount()) : routerCounts;
+    Experiment experiment = TestbedCommand.readExperiment(experimentFile).scaledBy(loadFactor);
+    List<Integer> routerCounts =
+        requestedRouterCounts.isEmpty() ? List.of(experiment.routerCount()) : requestedRouterCounts;
     Map<String, ExperimentResult> results = new LinkedHashMap<>();
-    for (int count : counts) {
-      Experiment sized = experiment.withRouters(count);
+    for (int routerCount : routerCounts) {
+      Experiment resized = experiment.withRouters(routerCount);
       results.put(
-          count + " routers, with",
-          Simulation.withOverloadControl(sized, OverloadSettings.DEFAULT).run());
-      results.put(count + " routers, without", Simulation.withoutOverloadControl(sized).run());
+          routerCount + " routers, with",
+          Simulation.withOverloadControl(resized, OverloadSettings.DEFAULT).run());
+      results.put(
+          routerCount + " routers, without", Simulation.withoutOverloadControl(resized).run());
     }
     report.write(experiment.name(), results);
-    return Rushwood.EXIT_DONE;
+    return Rushwood.EXIT_SUCCESS;
   }
 }
--- a/cli/src/main/java/rushwood/cli/package-info.java
+++ b/cli/src/main/java/rushwood/cli/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The command line {@code bin/rushwood}: its sub-commands, exit codes and the JSON that scripts
- * read. Each command is a class of its own; {@link rushwood.cli.Rushwood} is the entry point.
+ * The command line {@code bin/rushwood}: its sub-commands, their exit codes and their JSON output
+ * for scripts. Each sub-command has its own class; {@link rushwood.cli.Rushwood} is the entry
+ * point.
  */
 @NullMarked
 package rushwood.cli;
--- a/cli/src/test/java/rushwood/cli/CheckCommandTest.java
+++ b/cli/src/test/java/rushwood/cli/CheckCommandTest.java
@@ -17,20 +17,23 @@
   private final CommandRunner command = new CommandRunner();
 
   @Test
-  void settingsAreCheckedAgainstTheirSchema() throws IOException {
+  void settingsAreValidatedAgainstSchema() throws IOException {
     assertEquals(0, command.run("check", "../deploy/rushwood.json", "--schema", SETTINGS_SCHEMA));
-    Path negative = Files.writeString(folder.resolve("bad.json"), "{\"storm\":{\"repeats\":-1}}");
+    Path negativeNumber =
+        Files.writeString(folder.resolve("bad.json"), "{\"storm\":{\"repeats\":-1}}");
     assertEquals(
-        2, command.run("check", negative.toString(), "--schema", SETTINGS_SCHEMA, "--json"));
-    String faults = command.output();
-    assertTrue(faults.startsWith("[{\"file\":\"" + negative + "\",\"fault\":\""), faults);
-    assertTrue(faults.contains("storm.repeats"), faults);
-    Path format = Files.writeString(folder.resolve("json.json"), "{\"log\":{\"format\":\"json\"}}");
-    assertEquals(2, command.run("check", format.toString(), "--schema", SETTINGS_SCHEMA, "--json"));
+        2, command.run("check", negativeNumber.toString(), "--schema", SETTINGS_SCHEMA, "--json"));
+    String errors = command.output();
+    assertTrue(errors.startsWith("[{\"file\":\"" + negativeNumber + "\",\"fault\":\""), errors);
+    assertTrue(errors.contains("storm.repeats"), errors);
+    Path missingLogFile =
+        Files.writeString(folder.resolve("json.json"), "{\"log\":{\"format\":\"json\"}}");
+    assertEquals(
+        2, command.run("check", missingLogFile.toString(), "--schema", SETTINGS_SCHEMA, "--json"));
   }
 
   @Test
-  void pathsOfTheFormerModuleAreStillFound() {
+  void pathsOfEarlierVersionsAreResolved() {
     String schema = "../lab/src/main/resources/experiment.schema.json";
     assertEquals(
         0, command.run("check", "../lab/experiments/honest-peak.json", "--schema", schema));
--- a/cli/src/test/java/rushwood/cli/CommandRunner.java
+++ b/cli/src/test/java/rushwood/cli/CommandRunner.java
@@ -4,11 +4,11 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** Runs the command line in this process and keeps what it printed on standard output. */
+/** Runs the command line in this process and captures its standard output. */
 final class CommandRunner {
   private String output = "";
 
-  /** Runs a command and returns its exit code. */
+  /** Runs a command and returns its exit code; captures its output also if it throws. */
   int run(String... args) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     PrintStream original = System.out;
@@ -21,7 +21,7 @@
     }
   }
 
-  /** What the last command printed. */
+  /** Returns the standard output of the last command; empty before the first. */
   String output() {
     return output;
   }
--- a/cli/src/test/java/rushwood/cli/RushwoodTest.java
+++ b/cli/src/test/java/rushwood/cli/RushwoodTest.java
@@ -8,7 +8,7 @@
   private final CommandRunner command = new CommandRunner();
 
   @Test
-  void exitCodesOfUsage() {
+  void exitCodesOfHelpAndOfInvalidArguments() {
     assertEquals(0, command.run("--help"));
     assertEquals(0, command.run("--version"));
     assertEquals(2, command.run());
--- a/cli/src/test/java/rushwood/cli/TestbedCommandTest.java
+++ b/cli/src/test/java/rushwood/cli/TestbedCommandTest.java
@@ -8,7 +8,7 @@
 class TestbedCommandTest {
   private final CommandRunner command = new CommandRunner();
 
-  private void assertPlaysHonestPeak(String... args) {
+  private void assertAllClientsServed(String... args) {
     assertEquals(0, command.run(args));
     String output = command.output();
     assertTrue(
@@ -17,13 +17,13 @@
   }
 
   @Test
-  void virtualTimeResultsAsJson() {
-    assertPlaysHonestPeak(
+  void resultsInVirtualTimeAsJson() {
+    assertAllClientsServed(
         "testbed", "virtual", "../testbed/experiments/honest-peak.json", "--json", "-");
   }
 
   @Test
-  void formerNamesOfSubCommandAndModuleStillWork() {
-    assertPlaysHonestPeak("lab", "virtual", "../lab/experiments/honest-peak.json", "--json", "-");
+  void aliasAndPathOfEarlierVersionsWork() {
+    assertAllClientsServed("lab", "virtual", "../lab/experiments/honest-peak.json", "--json", "-");
   }
 }
