--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Writes router/target/rushwood.jsa, the classes that a start loads, from one start by the command of balancer.toml with no
-# host and no client: a router is then ready in about half the time. Without the archive it is slower, else the same.
+# Writes router/target/rushwood.jsa, a class data sharing (CDS) archive of the classes that are loaded at startup, by running
+# the command of balancer.toml once, without hosts or clients. The archive about halves the time until a router is ready; a
+# router without it only starts more slowly.
 run=$(sed -n 's/^run = "exec \(.*\)"$/\1/p' deploy/balancer.toml |
     sed 's/-XX:SharedArchiveFile=/-XX:ArchiveClassesAtExit=/')
 NODE_CONFIG=deploy/archive.json timeout -s TERM 3 $run > router/target/archive.log 2>&1
