--- a/router/src/main/java/rushwood/dispatch/DispatcherActions.java
+++ b/router/src/main/java/rushwood/dispatch/DispatcherActions.java
@@ -19,7 +19,7 @@
   /**
    * Creates the actions of one policy.
    *
-   * @param logger receives the policy's log messages
+   * @param logger receives the policy's log lines
    */
   DispatcherActions(
       Counters counters,
@@ -92,7 +92,7 @@
   public void subscribeToEndpoints() {}
 
   @Override
-  public void log(LogLevel level, String message) {
-    logger.accept(level, message);
+  public void log(LogLevel level, String line) {
+    logger.accept(level, line);
   }
 }
--- a/router/src/main/java/rushwood/dispatch/EndpointPool.java
+++ b/router/src/main/java/rushwood/dispatch/EndpointPool.java
@@ -98,7 +98,8 @@
 
   /**
    * Removes and returns the most recently used connection that can be reused, or null if there is
-   * none. Connections found to be broken or idle for too long on the way are closed.
+   * none. Closes the connections that it passes over because they are broken or were idle for too
+   * long.
    */
   @Nullable PooledConnection takeReusable(long now, long maxIdleNanos) {
     for (Iterator<PooledConnection> connections = idle.iterator(); connections.hasNext(); ) {
--- a/router/src/main/java/rushwood/dispatch/EventLoopClock.java
+++ b/router/src/main/java/rushwood/dispatch/EventLoopClock.java
@@ -106,10 +106,10 @@
 
   /**
    * Returns whether there may be unread input that is older than {@code maxAgeNanos}. This is the
-   * case in a turn that has lasted longer than that, and in the first two turns after a pause
-   * longer than that: a signal may have started the first one without any socket being polled, and
-   * the second one reads the sockets in no particular order. A task scheduled for later than {@link
-   * #now} runs after both.
+   * case in a turn that has lasted longer than {@code maxAgeNanos}, and in the first two turns
+   * after a longer pause: a signal may have started the first turn without any socket being polled,
+   * and the second turn reads the sockets in no particular order. A task scheduled for later than
+   * {@link #now} runs after both.
    */
   public boolean canHaveUnreadInput(long maxAgeNanos) {
     long time = timeSource.getAsLong();
@@ -136,7 +136,7 @@
 
   /**
    * Returns the start of the last pause if it ended at most {@code maxAgeNanos} ago, else the time
-   * of the current turn. A signal or input handled now may have arrived as early as that.
+   * of the current turn. A signal or input handled now may have arrived at the returned time.
    */
   public long recentPauseStartOrNow(long maxAgeNanos) {
     return pauseDetector.startOfPauseEndedWithin(maxAgeNanos, now());
--- a/router/src/main/java/rushwood/dispatch/Exchange.java
+++ b/router/src/main/java/rushwood/dispatch/Exchange.java
@@ -40,7 +40,7 @@
   /** Returns whether this is a health check, which a host answers with a load report. */
   abstract boolean isHealthCheck();
 
-  /** Called once, when the exchange is over; the implementation releases the response. */
+  /** Called once, when the exchange is over; the implementation takes ownership of the response. */
   abstract void onCompleted(BackendResponse response);
 
   HostId host() {
--- a/router/src/main/java/rushwood/dispatch/InFlightRequest.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequest.java
@@ -50,7 +50,10 @@
     attemptsInFlight--;
   }
 
-  /** Returns whether the final response was sent, or is not needed as the client disconnected. */
+  /**
+   * Returns whether the final response was sent, or is not needed because the client disconnected or
+   * cancelled the request.
+   */
   boolean isAnswered() {
     return responder == null;
   }
--- a/router/src/main/java/rushwood/dispatch/InFlightRequests.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequests.java
@@ -11,7 +11,7 @@
 
 /** Holds the requests in flight, and the ids of recently finished requests. */
 final class InFlightRequests {
-  /** The number of ids of finished requests that are kept, those of the last seconds. */
+  /** The number of finished requests whose ids are kept: two seconds of 1,000 requests each. */
   private static final int MAX_RECENTLY_FINISHED_IDS = 2000;
 
   private final Map<RequestId, InFlightRequest> requests = new HashMap<>();
--- a/router/src/main/java/rushwood/dispatch/PolicyEventQueue.java
+++ b/router/src/main/java/rushwood/dispatch/PolicyEventQueue.java
@@ -26,7 +26,7 @@
     policy = newPolicy;
   }
 
-  /** Delivers an event: at once, or after those before it if one is being delivered. */
+  /** Delivers an event: at once, or after all earlier events if one is being delivered. */
   void deliver(Consumer<RoutingPolicy> event) {
     pending.add(event);
     if (isDelivering) {
--- a/router/src/main/java/rushwood/dispatch/PooledConnection.java
+++ b/router/src/main/java/rushwood/dispatch/PooledConnection.java
@@ -11,7 +11,7 @@
  */
 final class PooledConnection implements BackendConnection.Listener {
   private enum State {
-    /** Not established yet; its first exchange waits for that, or was abandoned. */
+    /** Not established yet; its first exchange waits for the connection, or was abandoned. */
     CONNECTING,
     /** Established, with an exchange that is not written yet or was abandoned unwritten. */
     ASSIGNED,
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Detaches the exchange. If it was written, the connection is closed, which is the only way to
-   * end it.
+   * Detaches the exchange. Closes the connection if the exchange was written, because a written
+   * exchange cannot be ended in any other way.
    */
   void abandonExchange() {
     detachExchange();
--- a/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
+++ b/router/src/main/java/rushwood/dispatch/RequestDispatcher.java
@@ -28,7 +28,7 @@
    * Creates a dispatcher without endpoints.
    *
    * @param connector opens connections to hosts
-   * @param logger receives the policy's log messages
+   * @param logger receives the policy's log lines
    * @param policyFactory creates the policy from the actions that it can order
    */
   public RequestDispatcher(
@@ -67,7 +67,8 @@
    *
    * @param partials the readable fields of malformed entries; a known host whose state cannot be
    *     read keeps its state
-   * @param fromCache whether the list is the one that this router held before it started
+   * @param fromCache whether this is the list that the router held before it was restarted, instead
+   *     of one from discovery
    */
   public void endpointsReplaced(
       List<EndpointAddress> listed, List<PartialEndpoint> partials, boolean fromCache) {
--- a/router/src/main/java/rushwood/overload/ConnectionState.java
+++ b/router/src/main/java/rushwood/overload/ConnectionState.java
@@ -9,7 +9,8 @@
   /** The last request was rejected with a Retry-After time. */
   AWAITING_RETRY,
   /**
-   * A request is pending or a part of a message has arrived; never closed for other connections.
+   * A request is pending or part of a message has arrived. Such a connection is never closed to
+   * make room for others.
    */
   BUSY
 }
--- a/router/src/main/java/rushwood/overload/EvictionDecision.java
+++ b/router/src/main/java/rushwood/overload/EvictionDecision.java
@@ -16,8 +16,8 @@
     NONE;
 
     /**
-     * Returns whether the action closes a connection that was served or has had its time to send a
-     * first request.
+     * Returns whether the action is {@link #CLOSE_UNUSED} or {@link #CLOSE_IDLE}: the connection
+     * was served, or its time to send a first request is over.
      */
     public boolean isClose() {
       return this == CLOSE_UNUSED || this == CLOSE_IDLE;
--- a/router/src/main/java/rushwood/overload/EvictionPolicy.java
+++ b/router/src/main/java/rushwood/overload/EvictionPolicy.java
@@ -21,11 +21,12 @@
  *
  * <p>{@linkplain #decideBelowLimit Below the limit} the second case applies as well if few clients
  * {@linkplain ConnectionReuseEstimate reuse} their connections and more than {@link
- * #MAX_IDLE_SHARE} of the allowed connections are idle. Otherwise a proxy that limits its
- * connections to each router would have none left for other clients.
+ * #MAX_IDLE_SHARE} of the allowed connections are idle. If idle connections were kept, a proxy that
+ * limits its connections to each router would have none left for other clients.
  *
- * <p>A connection whose client has not returned within {@link #RETURN_TOLERANCE_NANOS} after the
- * longest Retry-After time counts as idle since the end of that time.
+ * <p>Over the limit, a connection whose client has not returned within {@link
+ * #RETURN_TOLERANCE_NANOS} after the longest Retry-After time becomes idle, as of the end of that
+ * time.
  */
 final class EvictionPolicy {
   private static final long MIN_IDLE_NANOS = 100_000_000L;
--- a/router/src/main/java/rushwood/overload/OverloadController.java
+++ b/router/src/main/java/rushwood/overload/OverloadController.java
@@ -186,7 +186,7 @@
     policy.timerFired(now);
   }
 
-  /** Sets the time of an event, and ends a tick before the event if one is due. */
+  /** Sets the time of an event for the policy's actions, and ends a tick if one is due. */
   private void startEvent(long now) {
     trackingActions.eventStarted(now);
     if (now < nextTickAt) {
--- a/router/src/main/java/rushwood/overload/OverloadCounts.java
+++ b/router/src/main/java/rushwood/overload/OverloadCounts.java
@@ -22,13 +22,17 @@
     return returnedAsAdvised;
   }
 
-  /** Returns the number of Retry-After times for which the schedule had room. */
+  /**
+   * Returns the number of Retry-After times of rejected requests for which the schedule had room.
+   * Refused connections do not count.
+   */
   public long reserved() {
     return reserved;
   }
 
   /**
-   * Returns the number of Retry-After times set to the maximum because the schedule had no room.
+   * Returns the number of Retry-After times of rejected requests that were set to the maximum
+   * because the schedule had no room. Refused connections do not count.
    */
   public long unreserved() {
     return unreserved;
--- a/router/src/main/java/rushwood/overload/OverloadDetector.java
+++ b/router/src/main/java/rushwood/overload/OverloadDetector.java
@@ -74,7 +74,7 @@
 
   /**
    * Records a refusal: a rejected request or an attempt that timed out; in the detector of a host
-   * also an attempt that found no connection or was refused by the overloaded host.
+   * also an attempt that could not connect or was refused by the overloaded host.
    */
   void recordRefused() {
     refusedInTick++;
--- a/router/src/main/java/rushwood/overload/OverloadStatistics.java
+++ b/router/src/main/java/rushwood/overload/OverloadStatistics.java
@@ -19,6 +19,9 @@
  * The overload detectors of the router, of each group and of each host, and for each group its
  * retry budget and its number of expected repeats. Groups and hosts are those of the endpoint list;
  * events of others count for the router only.
+ *
+ * <p>Arrivals are recorded for the router and the groups only. The detector of a host therefore
+ * sees no arrivals, and its state stays {@link OverloadState#NORMAL}.
  */
 final class OverloadStatistics {
   private final OverloadSettings settings;
--- a/router/src/main/java/rushwood/overload/RequestTracker.java
+++ b/router/src/main/java/rushwood/overload/RequestTracker.java
@@ -99,8 +99,8 @@
    * Drops requests whose deadline has long passed. If the policy throws an exception while it
    * handles a request, the dispatcher ends that request itself, and no event reports it.
    *
-   * <p>Requests are checked in the order of arrival, up to the first that is not overdue: a request
-   * with a distant deadline merely keeps later ones a while longer.
+   * <p>Requests are checked in the order of arrival, up to the first that is not overdue, so a
+   * request with a distant deadline delays the removal of later ones.
    */
   void removeOverdue(long now) {
     Iterator<TrackedRequest> oldestFirst = requests.values().iterator();
--- a/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
@@ -15,8 +15,8 @@
  *       wait for a slot, otherwise none.
  *   <li>No other request of the group waits and the group is {@linkplain OverloadState#NORMAL
  *       normal}: none, because its hosts have free slots.
- *   <li>Otherwise: the time that the {@link RetryAfterSchedule} gives, after all pending requests
- *       of the router.
+ *   <li>Otherwise: the time that the {@link RetryAfterSchedule} gives for a request that is served
+ *       after all pending requests of the router.
  * </ol>
  *
  * <p>A client whose connection is refused gets no time in the first case, the longest time if the
--- a/router/src/main/java/rushwood/overload/RetryBudget.java
+++ b/router/src/main/java/rushwood/overload/RetryBudget.java
@@ -17,7 +17,7 @@
   private static final double MIN_BURST_TOKENS = 10;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private final double tokensPerFirstAttempt;
+  private final double tokensPerUnlimitedAttempt;
   private final double tokensPerSecond;
   private final double maxTokens;
   private double tokens;
@@ -26,12 +26,12 @@
   /**
    * Creates a full bucket.
    *
-   * @param tokensPerFirstAttempt the fraction of a token that each attempt other than a costly
+   * @param tokensPerUnlimitedAttempt the fraction of a token that each attempt other than a costly
    *     retry adds
    * @param tokensPerSecond the tokens that are added per second in any case
    */
-  RetryBudget(double tokensPerFirstAttempt, double tokensPerSecond) {
-    this.tokensPerFirstAttempt = tokensPerFirstAttempt;
+  RetryBudget(double tokensPerUnlimitedAttempt, double tokensPerSecond) {
+    this.tokensPerUnlimitedAttempt = tokensPerUnlimitedAttempt;
     this.tokensPerSecond = tokensPerSecond;
     maxTokens = Math.max(MIN_BURST_TOKENS, tokensPerSecond * BURST_SECONDS);
     tokens = maxTokens;
@@ -40,7 +40,7 @@
   /** Records an attempt that is not a costly retry. */
   void recordUnlimitedAttempt(long now) {
     refill(now);
-    tokens = Math.min(maxTokens, tokens + tokensPerFirstAttempt);
+    tokens = Math.min(maxTokens, tokens + tokensPerUnlimitedAttempt);
   }
 
   /** Records a costly retry, whether the budget allowed it or not. */
--- a/router/src/main/java/rushwood/overload/TrackingPolicyActions.java
+++ b/router/src/main/java/rushwood/overload/TrackingPolicyActions.java
@@ -19,7 +19,10 @@
     this.requestTracker = requestTracker;
   }
 
-  /** Sets the clock time of the event that is passed to the policy next, and so of its actions. */
+  /**
+   * Sets the clock time in nanoseconds at which requests count as ended if they end without an
+   * answer before the next call.
+   */
   void eventStarted(long now) {
     eventTime = now;
   }
--- a/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
+++ b/router/src/test/java/rushwood/dispatch/DispatcherFixture.java
@@ -155,8 +155,8 @@
     }
 
     @Override
-    public void shuttingDown(long now, long deadline) {
-      recorded.add("shutting down by " + deadline / NANOS_PER_MILLI);
+    public void shuttingDown(long now, long lastAnswerTime) {
+      recorded.add("shutting down by " + lastAnswerTime / NANOS_PER_MILLI);
     }
 
     @Override
--- a/router/src/test/java/rushwood/dispatch/RequestDeadlineTest.java
+++ b/router/src/test/java/rushwood/dispatch/RequestDeadlineTest.java
@@ -11,7 +11,8 @@
   @RegisterExtension final DispatcherFixture fixture = new DispatcherFixture();
 
   /**
-   * Input that arrives during a pause is not read before its end, so the pause counts as waiting.
+   * Input that arrives during a pause is not read before the pause ends, so the pause counts as
+   * waiting.
    */
   @Test
   void deadlineCountsFromStartOfPause() {
--- a/router/src/test/java/rushwood/dispatch/TimerQueueTest.java
+++ b/router/src/test/java/rushwood/dispatch/TimerQueueTest.java
@@ -56,7 +56,7 @@
     assertEquals(200 * NANOS_PER_MILLI, loop.timers.recentLatenessNanos());
   }
 
-  /** A task scheduled for a time in the past is due at once, and its lateness counts from then. */
+  /** A task scheduled for a past time is due at once; its lateness counts from its scheduling. */
   @Test
   void taskScheduledInThePastIsNotLate() {
     loop.advanceTo(500);
