--- a/router/src/main/java/rushwood/dispatch/InFlightRequest.java
+++ b/router/src/main/java/rushwood/dispatch/InFlightRequest.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns whether the final response was sent, or is not needed because the client disconnected or
-   * cancelled the request.
+   * Returns whether the final response was sent, or is not needed because the client disconnected
+   * or cancelled the request.
    */
   boolean isAnswered() {
     return responder == null;
--- a/router/src/main/java/rushwood/overload/OverloadSettings.java
+++ b/router/src/main/java/rushwood/overload/OverloadSettings.java
@@ -7,8 +7,8 @@
  *     longest allowed, and is told only while other requests wait
  * @param connectBackoff whether connection attempts to hosts that do not accept connections are
  *     limited
- * @param retriesPerFirstAttempt how many costly retries each other attempt allows while the retries
- *     of its group are limited; see {@link RetryBudget}
+ * @param retriesPerFirstAttempt how many costly retries each attempt of any other kind allows while
+ *     the retries of its group are limited; see {@link RetryBudget}
  * @param minRetriesPerSecond how many costly retries per second and group are allowed in any case
  * @param failAmbiguousWrites whether a write is failed without being sent if it repeats an
  *     unanswered one that may have been executed
--- a/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Returns whether a slot has room for another request. An empty slot always has, however slow the
-   * hosts are.
+   * Returns whether a slot has room for another request. An empty slot always does, however slow
+   * the hosts are.
    */
   private boolean hasRoom(long slot, int groupBucket, double capacity, double groupCapacity) {
     int index = slotIndex(slot);
