--- a/router/src/main/java/rushwood/config/DecimalSeconds.java
+++ b/router/src/main/java/rushwood/config/DecimalSeconds.java
@@ -6,10 +6,10 @@
   private static final long NANOS_PER_MICRO = 1000;
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** The longest text that is parsed digit by digit: so many digits always fit into a long. */
+  /** Maximum length of a text that is parsed digit by digit: 17 digits always fit into a long. */
   private static final int MAX_EXACT_LENGTH = 17;
 
-  /** The most seconds that are converted exactly: in nanoseconds they still fit into a long. */
+  /** Maximum number of seconds that is converted exactly; its nanoseconds still fit into a long. */
   private static final long MAX_EXACT_SECONDS = 9_000_000_000L;
 
   private DecimalSeconds() {}
--- a/router/src/main/java/rushwood/config/InvalidConfigException.java
+++ b/router/src/main/java/rushwood/config/InvalidConfigException.java
@@ -13,7 +13,7 @@
     this.reason = reason;
   }
 
-  /** Returns the path of the field in its file, or the name of the environment variable. */
+  /** Returns the path of the field, or the name of the environment variable or file at fault. */
   public String field() {
     return field;
   }
@@ -23,7 +23,7 @@
     return reason;
   }
 
-  /** Returns the field, a space and the reason, in one line. */
+  /** Returns the field and the reason, separated by a space. */
   @Override
   public String getMessage() {
     return field + " " + reason;
--- a/router/src/main/java/rushwood/config/JsonSection.java
+++ b/router/src/main/java/rushwood/config/JsonSection.java
@@ -56,7 +56,11 @@
     return value.getAsBoolean();
   }
 
-  /** Returns a number from 0 to {@code max}, which must be a whole number. */
+  /**
+   * Returns a number from 0 to {@code max}.
+   *
+   * @param max a whole number, because error messages print it without decimal places
+   */
   double number(String field, double defaultValue, double max) throws InvalidConfigException {
     JsonElement value = json.get(field);
     if (value == null) {
--- a/router/src/main/java/rushwood/config/RouterConfigFile.java
+++ b/router/src/main/java/rushwood/config/RouterConfigFile.java
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Decodes the last known endpoint list. If it is malformed, the readable part is used, so that it
-   * never prevents the router from starting.
+   * Decodes the last known endpoint list. A malformed list never prevents the router from starting:
+   * the readable part of it is used.
    */
   private Optional<EndpointList> lastKnownEndpoints() {
     JsonElement known = root.get("known");
--- a/router/src/main/java/rushwood/config/SettingsValues.java
+++ b/router/src/main/java/rushwood/config/SettingsValues.java
@@ -4,8 +4,8 @@
 
 /**
  * Typed access to settings, which are pairs of path and text, such as {@code limits.probes} and
- * {@code true}. Except where a method says otherwise, it throws an {@link InvalidConfigException}
- * with the path if the value is missing, empty or of another type.
+ * {@code true}. Unless stated otherwise, the accessors throw an {@link InvalidConfigException} with
+ * the path if the value is missing, empty or of another type.
  */
 final class SettingsValues {
   private final Map<String, String> values;
--- a/router/src/main/java/rushwood/discovery/DiscoveryConnector.java
+++ b/router/src/main/java/rushwood/discovery/DiscoveryConnector.java
@@ -41,8 +41,8 @@
     void bodyReceived(ByteBuf content, boolean last);
 
     /**
-     * Called if the request has failed. The handler closes the request; until then this method may
-     * be called again.
+     * Called if the request has failed. The handler must close the request; until then this method
+     * may be called again.
      *
      * @param reason rest of a sentence that begins with "discovery", for example "cannot be
      *     reached"
--- a/router/src/main/java/rushwood/discovery/EndpointList.java
+++ b/router/src/main/java/rushwood/discovery/EndpointList.java
@@ -14,7 +14,8 @@
  * @param version the agent's version of the list, never negative; empty if it is missing or invalid
  * @param complete whether this is the complete list rather than only the changed entries
  * @param unchanged whether it equals the current list; its entries are then not decoded
- * @param checksum hash of the list's JSON without white space
+ * @param checksum hash of the list's JSON without white space outside strings; 0 for a list from
+ *     {@link EndpointListParser#decode}
  * @param endpoints the valid entries
  * @param partialEndpoints the host and state of those invalid entries whose host can be read
  * @param problems descriptions of what is invalid, at most 20, each with the name of the field
--- a/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListBuilder.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Adds the host and state of an entry that was cut off and closed. Adds nothing if the text is
-   * not a JSON object or has no host ID.
+   * Adds the host and state of a truncated entry, to which the caller has appended a closing brace.
+   * Adds nothing if the text is not a JSON object or has no host ID.
    */
   void addTruncatedEntry(String json) {
     try {
--- a/router/src/main/java/rushwood/discovery/EndpointListTokenizer.java
+++ b/router/src/main/java/rushwood/discovery/EndpointListTokenizer.java
@@ -51,7 +51,8 @@
    * Consumes the next byte.
    *
    * @return whether it is the last byte of a list
-   * @throws MalformedListException if the byte cannot belong to a list or exceeds a size limit
+   * @throws MalformedListException if the byte cannot belong to a list, or the list exceeds a size
+   *     limit
    */
   boolean accept(byte next) throws MalformedListException {
     boolean whiteSpace = isWhiteSpace(next);
@@ -103,8 +104,9 @@
   }
 
   /**
-   * Returns the JSON of the incomplete entry at the end of the input, cut off and closed after its
-   * last complete field. Empty if there is no such entry or it has no complete field.
+   * Returns the JSON of the incomplete entry at the end of the input, cut off after its last
+   * complete field and closed with a brace. Empty if there is no such entry or it has no complete
+   * field.
    */
   Optional<String> truncatedEntry() {
     if (!insideEntries) {
--- a/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
+++ b/router/src/main/java/rushwood/discovery/EndpointRefreshPolicy.java
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Returns the version whose list a poll opened now need not decode again if its checksum equals
-   * {@link #cachedChecksum}; empty if the poll has to decode any list.
+   * Returns the version whose complete list need not be decoded again if its checksum equals {@link
+   * #cachedChecksum}; empty if the next complete list has to be decoded in any case.
    */
   public OptionalLong cachedVersion() {
     return acceptancePolicy.cachedVersion();
--- a/router/src/main/java/rushwood/discovery/package-info.java
+++ b/router/src/main/java/rushwood/discovery/package-info.java
@@ -3,7 +3,7 @@
  *
  * <p>Decisions are separate from I/O: {@link rushwood.discovery.PollSchedule} decides when to poll,
  * {@link rushwood.discovery.EndpointRefreshPolicy} when to watch, and {@link
- * rushwood.discovery.ListDecision} lists what can happen to a list. {@link
+ * rushwood.discovery.ListAcceptancePolicy} which lists to apply. {@link
  * rushwood.discovery.DiscoveryClient} makes the requests over the connections of {@link
  * rushwood.discovery.DiscoveryConnector}. {@link rushwood.discovery.EndpointListParser} parses the
  * responses: {@code EndpointListTokenizer} finds the boundaries of a list and its entries, and
--- a/router/src/main/java/rushwood/membership/GossipReports.java
+++ b/router/src/main/java/rushwood/membership/GossipReports.java
@@ -18,10 +18,13 @@
  */
 public final class GossipReports {
   /** Twice the size of the largest deployment, 1,024 hosts, to leave room while a list changes. */
-  static final int MAX_ENDPOINTS = 2048;
+  static final int MAX_HOSTS = 2048;
 
-  /** More than a quorum needs in a deployment of 100 routers. */
-  static final int MAX_REPORTS_PER_ENDPOINT = 32;
+  /**
+   * More than a quorum needs in a deployment of 100 routers. A quorum above this number would never
+   * be reached.
+   */
+  static final int MAX_REPORTS_PER_HOST = 32;
 
   /** A condition of a host that a member has observed. */
   public enum Observation {
@@ -57,7 +60,7 @@
     static final Summary NONE = new Summary(0, Long.MAX_VALUE, false);
   }
 
-  private final Map<String, Deque<Report>> reportsByEndpoint = new TreeMap<>();
+  private final Map<String, Deque<Report>> reportsByHost = new TreeMap<>();
   private final long maxAgeNanos;
   private final int quorum;
   private long droppedReports;
@@ -86,22 +89,21 @@
    * is about a new host and the maximum number of hosts is reached. If the host then has too many
    * reports, the one added first is removed.
    *
+   * @param host the host's id
    * @param ageNanos time from the observation until {@code now}
    */
   public void add(
-      long now, MemberId reporter, String endpoint, Observation observation, long ageNanos) {
-    boolean hasRoom =
-        reportsByEndpoint.containsKey(endpoint) || reportsByEndpoint.size() < MAX_ENDPOINTS;
+      long now, MemberId reporter, String host, Observation observation, long ageNanos) {
+    boolean hasRoom = reportsByHost.containsKey(host) || reportsByHost.size() < MAX_HOSTS;
     if (ageNanos < 0 || ageNanos >= maxAgeNanos || !hasRoom) {
       droppedReports++;
       return;
     }
-    Deque<Report> reports =
-        reportsByEndpoint.computeIfAbsent(endpoint, absent -> new ArrayDeque<>());
+    Deque<Report> reports = reportsByHost.computeIfAbsent(host, absent -> new ArrayDeque<>());
     reports.removeIf(
         report -> report.reporter().equals(reporter) && report.observation() == observation);
     reports.addLast(new Report(reporter, observation, now - ageNanos));
-    if (reports.size() > MAX_REPORTS_PER_ENDPOINT) {
+    if (reports.size() > MAX_REPORTS_PER_HOST) {
       reports.removeFirst();
     }
   }
@@ -109,14 +111,14 @@
   /**
    * Returns a summary of the reports of one observation, and removes the host's expired reports.
    */
-  public Summary summarize(long now, String endpoint, Observation observation) {
-    Deque<Report> reports = reportsByEndpoint.get(endpoint);
+  public Summary summarize(long now, String host, Observation observation) {
+    Deque<Report> reports = reportsByHost.get(host);
     if (reports == null) {
       return Summary.NONE;
     }
     reports.removeIf(report -> now - report.observedAt() >= maxAgeNanos);
     if (reports.isEmpty()) {
-      reportsByEndpoint.remove(endpoint);
+      reportsByHost.remove(host);
       return Summary.NONE;
     }
     TreeSet<MemberId> reporters = new TreeSet<>();
@@ -136,8 +138,8 @@
    * Removes a reporter's reports of a host that the reporter now finds healthy, except a report
    * that the host is the primary.
    */
-  public void retract(MemberId reporter, String endpoint) {
-    Deque<Report> reports = reportsByEndpoint.get(endpoint);
+  public void retract(MemberId reporter, String host) {
+    Deque<Report> reports = reportsByHost.get(host);
     if (reports != null) {
       reports.removeIf(
           report ->
@@ -150,7 +152,7 @@
     return droppedReports;
   }
 
-  int endpointCount() {
-    return reportsByEndpoint.size();
+  int hostCount() {
+    return reportsByHost.size();
   }
 }
--- a/router/src/main/java/rushwood/membership/LocalHealth.java
+++ b/router/src/main/java/rushwood/membership/LocalHealth.java
@@ -23,12 +23,12 @@
     return score + 1L;
   }
 
-  /** Raises the score: a probe was missed, or this router had to refute a false update. */
+  /** Raises the score after a missed probe or a false update that this router had to refute. */
   void degrade() {
     score = Math.min(maxScore, score + 1);
   }
 
-  /** Lowers the score: the target of a probe answered directly. */
+  /** Lowers the score after the target of a probe has answered directly. */
   void improve() {
     score = Math.max(0, score - 1);
   }
--- a/router/src/main/java/rushwood/membership/Member.java
+++ b/router/src/main/java/rushwood/membership/Member.java
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Adds {@code origin} to the members that suspect this one, unless these are already {@code
-   * maxSuspecters}.
+   * Adds {@code origin} to the members that suspect this one, unless {@code maxSuspecters} members
+   * already do.
    */
   void addSuspecter(MemberId origin, int maxSuspecters) {
     if (suspecters.size() < maxSuspecters) {
--- a/router/src/main/java/rushwood/simulator/EventDecoder.java
+++ b/router/src/main/java/rushwood/simulator/EventDecoder.java
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Decodes a load report. Its position, in seconds since the position zero of the settings,
-   * becomes a clock time in nanoseconds.
+   * Decodes a load report. Its position, in seconds after {@link
+   * SimulatedRouter#positionZeroNanos}, becomes a clock time in nanoseconds.
    */
   static LoadReport decodeLoadReport(WireLine line, SimulatedRouter router) {
     String pairs = line.optionalText("pressure");
--- a/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
+++ b/router/src/test/java/rushwood/discovery/EndpointRefreshPolicyTest.java
@@ -26,7 +26,8 @@
 
   /**
    * Asserts for each drain grace and 40 seeds that every change reaches the router within three
-   * quarters of the grace. The last quarter is reserved for other delays.
+   * quarters of the grace, or of {@link #ANNOUNCEMENT_DEADLINE_MILLIS} if that is shorter. The last
+   * quarter is reserved for other delays.
    */
   private static void assertDelayWithinGrace(Scenario scenario) {
     for (long drainGraceMillis : DRAIN_GRACES_MILLIS) {
--- a/router/src/test/java/rushwood/membership/GossipReportsTest.java
+++ b/router/src/test/java/rushwood/membership/GossipReportsTest.java
@@ -40,7 +40,7 @@
         0,
         reports.summarize(SECOND, "s-2", Observation.COLD).reporterCount(),
         "4 s old when added, 5 s now");
-    assertEquals(0, reports.endpointCount());
+    assertEquals(0, reports.hostCount());
   }
 
   @Test
@@ -53,18 +53,18 @@
   }
 
   @Test
-  void endpointsAndReportsAreBounded() {
+  void hostsAndReportsAreBounded() {
     GossipReports reports = new GossipReports(5 * SECOND, 1);
-    for (int i = 0; i < GossipReports.MAX_ENDPOINTS + 10; i++) {
+    for (int i = 0; i < GossipReports.MAX_HOSTS + 10; i++) {
       reports.add(0, A, "s-" + i, Observation.LAGGING, 0);
     }
-    assertEquals(GossipReports.MAX_ENDPOINTS, reports.endpointCount());
+    assertEquals(GossipReports.MAX_HOSTS, reports.hostCount());
     assertEquals(10, reports.droppedReports());
     for (int i = 0; i < 100; i++) {
       reports.add(0, new MemberId(i, 2), "s-0", Observation.UNREACHABLE, 0);
     }
     assertEquals(
-        GossipReports.MAX_REPORTS_PER_ENDPOINT,
+        GossipReports.MAX_REPORTS_PER_HOST,
         reports.summarize(0, "s-0", Observation.UNREACHABLE).reporterCount());
   }
 }
--- a/router/src/test/java/rushwood/membership/MembershipTest.java
+++ b/router/src/test/java/rushwood/membership/MembershipTest.java
@@ -77,8 +77,8 @@
     cluster.runFor(60 * SECOND);
     assertEquals(0, cluster.deadViews());
     long missed = 0;
-    for (Membership node : cluster.members) {
-      missed += node.counters().missedProbes();
+    for (Membership member : cluster.members) {
+      missed += member.counters().missedProbes();
     }
     // 20 members send 4 probes per second for 60 s: 4,800 probes. A probe is missed if its ping or
     // ack is lost (probability 0.36) and each of the 3 indirect probes loses at least one of its 4
--- a/router/src/test/java/rushwood/membership/SimulatedMembers.java
+++ b/router/src/test/java/rushwood/membership/SimulatedMembers.java
@@ -16,7 +16,7 @@
   static final long MILLISECOND = 1_000_000L;
   static final long SECOND = 1_000 * MILLISECOND;
 
-  /** Start of the virtual clock: Unix time of a moment in November 2026. */
+  /** Start of the virtual clock: a Unix time in November 2026, in nanoseconds. */
   static final long START = 1_796_000_000L * SECOND;
 
   private static final int MAX_SAMPLE_DATAGRAMS = 64;
--- a/router/src/test/java/rushwood/simulator/SimulatorAdapterTest.java
+++ b/router/src/test/java/rushwood/simulator/SimulatorAdapterTest.java
@@ -9,7 +9,7 @@
 import java.io.PrintStream;
 import org.junit.jupiter.api.Test;
 
-/** How the adapter reports malformed input. */
+/** Tests how the adapter reports malformed input. */
 class SimulatorAdapterTest {
   private final ByteArrayOutputStream output = new ByteArrayOutputStream();
   private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
