--- a/router/src/main/java/rushwood/api/AttemptOutcome.java
+++ b/router/src/main/java/rushwood/api/AttemptOutcome.java
@@ -6,7 +6,7 @@
   SUCCESS(true, false),
   /** The host answered with an error, which leaves open whether it ran the request. */
   ERROR(true, false),
-  /** The host answered, but its response violates the protocol. */
+  /** The host answered, but its answer violates the protocol. */
   MALFORMED(true, false),
   /** The host refused the attempt because it is overloaded. */
   OVERLOADED(true, true),
--- a/router/src/main/java/rushwood/api/RoutingPolicy.java
+++ b/router/src/main/java/rushwood/api/RoutingPolicy.java
@@ -19,8 +19,8 @@
    * A complete endpoint list was received. With {@link RoutingSettings#isRemovalBinding()}, hosts
    * that it does not contain are removed.
    *
-   * @param fromCache whether this is the list that the router held before it was restarted, instead
-   *     of one from discovery
+   * @param fromCache whether this is the router's cached list instead of one from discovery. A
+   *     router starts with its cached list, which is empty if it has none.
    */
   void endpointsReplaced(long now, List<Endpoint> endpoints, boolean fromCache);
 
--- a/router/src/main/java/rushwood/policy/Attempt.java
+++ b/router/src/main/java/rushwood/policy/Attempt.java
@@ -61,14 +61,12 @@
     return isFirst;
   }
 
-  /** Counts an answer to a later attempt at the same host. */
+  /** Counts the success of a later attempt at the same host. */
   void incrementOvertakenCount() {
     overtakenCount++;
   }
 
-  /**
-   * Returns how many later attempts at the same host were answered while this one was in flight.
-   */
+  /** Returns how many later attempts at the same host succeeded while this one was in flight. */
   int overtakenCount() {
     return overtakenCount;
   }
--- a/router/src/main/java/rushwood/policy/AttemptResultRecorder.java
+++ b/router/src/main/java/rushwood/policy/AttemptResultRecorder.java
@@ -4,8 +4,8 @@
 import rushwood.api.AttemptResult;
 
 /**
- * Passes the result of an attempt to the components that learn from it, in the order that they
- * depend on.
+ * Passes the result of an attempt to the components that learn from it, which depend on the order
+ * of these calls.
  */
 final class AttemptResultRecorder {
   private final ServiceTimes serviceTimes;
@@ -46,7 +46,7 @@
     limiter.attemptFinished(attempt, result, now);
     outliers.attemptFinished(attempt, result, now);
     attempt.host.inFlight.remove(attempt);
-    attempt.pending.group.endPrimaryDiscovery(attempt.pending);
+    attempt.pending.group.endPrimarySearch(attempt.pending);
     freshness.attemptFinished(attempt, result, now);
     primaries.attemptFinished(attempt, result, now);
     RetryPolicy.attemptFinished(attempt, result.outcome());
--- a/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyLimiter.java
@@ -8,6 +8,9 @@
  * are in use, and falls while answers are slow or missing, so that requests queue in the router,
  * which can order them, and not in the host. A limit below 1 means one slot with a pause after each
  * attempt.
+ *
+ * <p>The latency ratio of an answer is the time that it took as a share of the latency objective of
+ * its request.
  */
 final class ConcurrencyLimiter {
   /** The minimum limit per host, in slots of all routers together; it keeps several cores busy. */
@@ -34,7 +37,7 @@
   private static final double FULL_WEIGHT_GAP_NANOS = 2e9;
 
   /**
-   * The latency ratio above which a host is slow; the rest of the objective time is left for
+   * The latency ratio above which a host is slow; the rest of the latency objective is left for
    * waiting in the queue.
    */
   private static final double TARGET_LATENCY_RATIO = 0.35;
@@ -95,7 +98,8 @@
    *       up: no;
    *   <li>the request may have run, and must not run on that host again ({@link
    *       RetryPolicy#isSafeOn}): no;
-   *   <li>the host is cold, and its work budget is used up ({@link SlowStart#hasTokens}): no;
+   *   <li>the host is cold, and its slow-start tokens are used up ({@link SlowStart#hasTokens}):
+   *       no;
    *   <li>otherwise yes.
    * </ol>
    */
@@ -133,8 +137,8 @@
   }
 
   /**
-   * Returns whether recent answers from the host took a larger share of the objective time than the
-   * target.
+   * Returns whether recent answers from the host took a larger share of the latency objective than
+   * the target.
    */
   static boolean isSlow(HostState host) {
     return host.concurrency.latencyRatio() > TARGET_LATENCY_RATIO;
@@ -146,9 +150,10 @@
    * <ul>
    *   <li>success: the limit follows the duration; hosts that answered the same request with an
    *       error before were at fault and pause;
-   *   <li>overloaded: counts as an answer that took the whole objective time, and the host pauses;
-   *   <li>timed out: counts as an answer that took at least the objective time, unless the attempt
-   *       was presumed lost;
+   *   <li>overloaded: counts as an answer that took the whole latency objective, and the host
+   *       pauses;
+   *   <li>timed out: counts as an answer that took at least the latency objective, unless the
+   *       attempt was presumed lost;
    *   <li>other outcomes say nothing about the load of the host.
    * </ul>
    *
@@ -185,7 +190,7 @@
   }
 
   /**
-   * Adjusts the limit to an answer, which took {@code latencyRatio} of the objective time of its
+   * Adjusts the limit to an answer, which took {@code latencyRatio} of the latency objective of its
    * request: down if the host is slow; up if it is not, the answer was quick and all slots were in
    * use. A limit changes by one slot over as many answers as it has slots.
    */
--- a/router/src/main/java/rushwood/policy/ConcurrencyState.java
+++ b/router/src/main/java/rushwood/policy/ConcurrencyState.java
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Returns the share of their requests' objective time that answers of the host take, as a moving
-   * average.
+   * Returns the share of the latency objective that answers of the host take, as a moving average;
+   * see {@link PendingRequest#objectiveNanos}.
    */
   double latencyRatio() {
     return latencyRatio.value();
--- a/router/src/main/java/rushwood/policy/DeadlineQueue.java
+++ b/router/src/main/java/rushwood/policy/DeadlineQueue.java
@@ -6,7 +6,7 @@
 
 /**
  * Requests in order of their deadlines, those with equal deadlines in order of insertion, and the
- * one timer that is set for them. Times are clock times in nanoseconds.
+ * only timer of the policy. Times are clock times in nanoseconds.
  */
 final class DeadlineQueue {
   private record Entry(long deadline, long sequenceNumber, PendingRequest pending)
--- a/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
+++ b/router/src/main/java/rushwood/policy/DefaultRoutingPolicy.java
@@ -68,6 +68,7 @@
     endpointPolicy.listReplaced(endpoints);
     endpointsUpdated(now, endpoints);
     if (fromCache) {
+      // The router has just started: the periodic checks and the subscription begin.
       nextCheckAt = now;
       deadlineQueue.requestTimer(now + clockResolutionNanos);
       subscription.start();
--- a/router/src/main/java/rushwood/policy/EndpointSubscription.java
+++ b/router/src/main/java/rushwood/policy/EndpointSubscription.java
@@ -5,8 +5,8 @@
 import rushwood.api.RoutingSettings;
 
 /**
- * Subscribes to the endpoint list where the deployment supports it, and again after each failure.
- * The retry delay doubles with each failure in a row and has jitter, so that routers that failed
+ * Subscribes to the endpoint list if the settings require it, and again after each failure. The
+ * retry delay doubles with each failure in a row and has jitter, so that routers that failed
  * together do not retry together.
  */
 final class EndpointSubscription {
@@ -14,7 +14,8 @@
   private static final long MIN_DELAY_NANOS = 2 * DefaultRoutingPolicy.CHECK_INTERVAL_NANOS;
 
   /**
-   * The longest retry delay is one part in this many of {@link RoutingSettings#refreshWithinNanos}.
+   * The longest retry delay, before jitter, is {@link RoutingSettings#refreshWithinNanos} divided
+   * by this.
    */
   private static final int MAX_DELAY_DIVISOR = 4;
 
@@ -40,7 +41,7 @@
     this.deadlineQueue = deadlineQueue;
   }
 
-  /** Subscribes to the endpoint list where the deployment supports it. */
+  /** Subscribes to the endpoint list if the settings require it. */
   void start() {
     if (subscribes) {
       actions.subscribeToEndpoints();
--- a/router/src/main/java/rushwood/policy/GroupState.java
+++ b/router/src/main/java/rushwood/policy/GroupState.java
@@ -18,7 +18,7 @@
 
   private final List<HostState> members = new ArrayList<>();
   private @Nullable HostState primary;
-  private @Nullable PendingRequest primaryDiscovery;
+  private @Nullable PendingRequest primarySearch;
 
   /** Returns the members in order of id. Callers must not modify the list. */
   List<HostState> members() {
@@ -87,21 +87,21 @@
   }
 
   /** Records that the given write is sent to a member of unknown role to find the primary. */
-  void startPrimaryDiscovery(PendingRequest pending) {
-    primaryDiscovery = pending;
+  void startPrimarySearch(PendingRequest pending) {
+    primarySearch = pending;
   }
 
-  boolean isDiscoveringPrimary() {
-    return primaryDiscovery != null;
+  boolean isSearchingForPrimary() {
+    return primarySearch != null;
   }
 
   /**
    * Allows the next write to search for the primary, if the given request was doing so. Called when
    * the request has a result or is finished.
    */
-  void endPrimaryDiscovery(PendingRequest pending) {
-    if (primaryDiscovery == pending) {
-      primaryDiscovery = null;
+  void endPrimarySearch(PendingRequest pending) {
+    if (primarySearch == pending) {
+      primarySearch = null;
     }
   }
 
--- a/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
+++ b/router/src/main/java/rushwood/policy/HealthCheckPolicy.java
@@ -15,8 +15,8 @@
   private static final double CHECKS_PER_REQUEST = 0.1;
 
   /**
-   * The most that may accrue unused: about enough for the health checks of a group and the first
-   * trial requests of its hosts.
+   * The most unused health checks and trial requests that may accrue: about enough for the health
+   * checks of a group and the first trial requests of its hosts.
    */
   private static final int MAX_ACCRUED_CHECKS = 10;
 
--- a/router/src/main/java/rushwood/policy/LostAnswerDetector.java
+++ b/router/src/main/java/rushwood/policy/LostAnswerDetector.java
@@ -5,7 +5,7 @@
 /**
  * Decides which attempts will not be answered any more. An attempt is late once it has been in
  * flight for several expected service times. A late attempt is presumed lost once several later
- * attempts at the same host have been answered, that is, once their answers have overtaken it:
+ * attempts at the same host have succeeded, that is, once their answers have overtaken it:
  *
  * <ul>
  *   <li>the loss is certain after several overtaking answers for each attempt in flight at the
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Counts an answer for the attempts that were sent to its host earlier, and checks the host for
-   * lost answers.
+   * Counts the answer of a successful attempt for the attempts that were sent to its host earlier,
+   * and checks the host for lost answers.
    */
   void answerReceived(Attempt answered, long now) {
     lossRatio -= lossRatio * LOSS_RATIO_SMOOTHING / ANSWER_WEIGHT_DIVISOR;
@@ -73,8 +73,8 @@
 
   /**
    * Marks the attempts at a host that are presumed lost, and cancels those whose request should be
-   * retried. Called once per check interval, after each answer from the host and when the host is
-   * ejected.
+   * retried. Called once per check interval, after each successful attempt at the host and when the
+   * host is ejected.
    */
   void check(HostState host, long now) {
     int certainLossCount = CERTAIN_LOSS_MULTIPLE * host.inFlight.size();
--- a/router/src/main/java/rushwood/policy/OutlierDetector.java
+++ b/router/src/main/java/rushwood/policy/OutlierDetector.java
@@ -9,7 +9,8 @@
 
 /**
  * Ejects hosts that cannot be reached or do not answer, and restores them. An ejected host loses
- * its role as primary and gets only trial requests, unless no member of its group is healthy.
+ * its role as primary. While a member of its group is healthy, an unresponsive host gets only trial
+ * requests, and an unreachable one gets no requests.
  *
  * <table>
  *   <caption>Transitions</caption>
@@ -21,6 +22,8 @@
  *       are missing</td></tr>
  *   <tr><td>unreachable</td><td>healthy</td><td>the host answers a health check</td></tr>
  *   <tr><td>unresponsive</td><td>healthy</td><td>the host answers an attempt</td></tr>
+ *   <tr><td>any</td><td>healthy</td><td>the endpoint list shows that the process of the host has
+ *       restarted ({@link EndpointPolicy})</td></tr>
  * </table>
  *
  * <p>In any state, a host to which the connect backoff allows no connection gets no attempts for a
@@ -62,9 +65,9 @@
   }
 
   /**
-   * Returns whether the host may get requests: it is healthy or due for a trial request; or no
-   * member of its group is healthy, because ejection must not empty a group, and, if the host is
-   * unreachable, the connect backoff allows a connection to it.
+   * Returns whether the host may get requests: it is healthy, due for a trial request, or in a
+   * group without a healthy member, since ejection must not empty a group. In such a group, an
+   * unreachable host is usable only while the connect backoff allows a connection to it.
    */
   boolean isUsable(HostState host, long now) {
     return host.health.isHealthy()
--- a/router/src/main/java/rushwood/policy/PendingRequest.java
+++ b/router/src/main/java/rushwood/policy/PendingRequest.java
@@ -180,7 +180,7 @@
   void finish() {
     finished = true;
     dequeue();
-    group.endPrimaryDiscovery(this);
+    group.endPrimarySearch(this);
   }
 
   boolean isFinished() {
--- a/router/src/main/java/rushwood/policy/QueuePolicy.java
+++ b/router/src/main/java/rushwood/policy/QueuePolicy.java
@@ -20,8 +20,7 @@
 final class QueuePolicy {
   /**
    * The share of its latency objective after which a waiting read may go to any replica that can
-   * answer, or to the primary. Slots of the primary may be idle, but a read there takes them from
-   * new writes.
+   * answer, or to the primary. Until then, idle slots of the primary are left to new writes.
    */
   private static final double SELECTIVE_WAIT_SHARE = 0.25;
 
--- a/router/src/main/java/rushwood/policy/ReplicaSelector.java
+++ b/router/src/main/java/rushwood/policy/ReplicaSelector.java
@@ -89,8 +89,9 @@
   }
 
   /**
-   * Chooses the best acceptable member with a free slot. Among equally good ones it is the first,
-   * in order of id from a random start.
+   * Chooses an acceptable member with a free slot: for a long read, the first one in order of id;
+   * otherwise the best one, and among equally good ones the first after a random start. If no
+   * member is fresh, also sends a health check to a replica whose last report is old.
    */
   private Decision selectBestOfAll(PendingRequest pending, long now) {
     Suitability best = suitability.best(pending, now);
--- a/router/src/main/java/rushwood/policy/RetryPolicy.java
+++ b/router/src/main/java/rushwood/policy/RetryPolicy.java
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Returns the Retry-After of a rejected request in nanoseconds, 0 for none. While others wait, an
-   * immediate retry would not help.
+   * Returns the Retry-After of a rejected request in nanoseconds, 0 for none. While other requests
+   * of the group wait for their first attempt, an immediate retry would not help.
    */
   long retryAfterNanos(PendingRequest pending, long now) {
     boolean othersWaiting = !pending.group.firstAttempts.isEmpty();
--- a/router/src/main/java/rushwood/policy/SlowStart.java
+++ b/router/src/main/java/rushwood/policy/SlowStart.java
@@ -13,7 +13,10 @@
   /** The share of its collapse load that a cold host gets; the rest is margin. */
   private static final double SAFE_LOAD_SHARE = 0.5;
 
-  /** The same if several routers share a slot: many routers need a larger margin. */
+  /**
+   * The share of its collapse load that a cold host gets if several routers share a slot: many
+   * routers need a larger margin.
+   */
   private static final double SAFE_LOAD_SHARE_OF_SHARED_SLOTS = 0.35;
 
   /**
@@ -45,7 +48,7 @@
   }
 
   /**
-   * Returns the share of its full capacity that a host has at least at its age: from {@link
+   * Returns the least share of its full capacity that a host of this age has: from {@link
    * RoutingSettings#coldStartShare} at its start to 1 after the warm-up time.
    */
   private double capacityShare(HostState host, long now) {
@@ -64,10 +67,10 @@
   }
 
   /**
-   * Returns whether the host may get the request: a warm host always, a cold one if its budget
-   * covers the expected service time. The budget grows by the host's share of the work that warm
-   * hosts complete, up to {@link #BURST_SHARE} of a collapse window. Each router starts it at a
-   * random level, so that routers send their first attempts at different times.
+   * Returns whether the host may get the request: a warm host always, a cold one if its tokens
+   * cover the expected service time. The tokens grow by the host's share of the work that warm
+   * hosts complete, up to {@link #BURST_SHARE} of a collapse window. Each router starts with a
+   * random number of tokens, so that routers send their first attempts at different times.
    */
   boolean hasTokens(PendingRequest pending, HostState host, long now) {
     if (isWarm(host, now)) {
@@ -86,8 +89,8 @@
 
   /**
    * Returns the work that a warm host of this host's weight completes, in nanoseconds of work per
-   * nanosecond. If no host is warm, it is the concurrency limit of this host: each busy slot
-   * completes one.
+   * nanosecond. If no host is warm, this is the concurrency limit of this host: each busy slot
+   * completes one nanosecond of work per nanosecond.
    */
   private double warmHostWorkRate(HostState host, long now) {
     double rate = 0;
@@ -101,7 +104,7 @@
     return weight > 0 ? host.endpoint().weight() * rate / weight : host.concurrency.limit();
   }
 
-  /** Takes the expected work of an attempt from the budget of its host. */
+  /** Takes the expected work of an attempt from the tokens of its host. */
   void attemptSent(Attempt attempt) {
     attempt.host.slowStart.tokens.take(serviceTimes.expectedNanos(attempt.pending));
   }
--- a/router/src/main/java/rushwood/policy/SlowStartState.java
+++ b/router/src/main/java/rushwood/policy/SlowStartState.java
@@ -5,14 +5,14 @@
  * rate at which it completes work. Work is expected service time in nanoseconds.
  */
 final class SlowStartState {
-  /** The start time of a process that has been running for longer than slow start lasts. */
-  private static final long LONG_AGO = 0;
+  /** The start time of a process that started long ago or at an unknown time. */
+  private static final long STARTED_LONG_AGO = 0;
 
   /** Work that may still be sent to the host during slow start. */
   final TokenBucket tokens = new TokenBucket();
 
   private final ExponentialAverage completedWorkRate = new ExponentialAverage(0);
-  private long startedAt = LONG_AGO;
+  private long startedAt = STARTED_LONG_AGO;
   private double completedWork;
 
   /** Returns the start of the host process as a clock time in nanoseconds; 0 for long ago. */
@@ -26,7 +26,7 @@
 
   /** Returns the age of the host process; {@code Long.MAX_VALUE} if it started long ago. */
   long ageNanos(long now) {
-    return startedAt == LONG_AGO ? Long.MAX_VALUE : now - startedAt;
+    return startedAt == STARTED_LONG_AGO ? Long.MAX_VALUE : now - startedAt;
   }
 
   /** Returns whether the tokens were last refilled before the process started. */
--- a/router/src/main/java/rushwood/policy/Suitability.java
+++ b/router/src/main/java/rushwood/policy/Suitability.java
@@ -2,10 +2,11 @@
 
 /** How well a host suits a read, best first. */
 enum Suitability {
-  /** Known to have applied what the read must see. */
+  /** Known to have applied what the read must see, or, for a long read, meant to take it. */
   FRESH,
   /**
-   * Has applied it if its lag has not grown since its last position report, or has reported none.
+   * Has applied what the read must see if its lag has not grown since its last position report, or
+   * has reported no position.
    */
   LIKELY_FRESH,
   /** Probably too far behind, but may be asked: such a host refuses the read or delays it. */
--- a/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
+++ b/router/src/main/java/rushwood/policy/SuitabilityPolicy.java
@@ -94,8 +94,8 @@
 
   /**
    * Returns whether a host is good enough for a read, given the best suitability in its group.
-   * Reads wait for a free slot only at hosts that are fresh or likely fresh, if one of the group is
-   * fresh.
+   * While a host is fresh, reads wait for a free slot rather than go to a lagging replica; while
+   * any replica may answer, they wait rather than go to the primary.
    */
   static boolean isAcceptable(Suitability suitability, Suitability best) {
     return switch (best) {
--- a/router/src/main/java/rushwood/policy/WriteSelector.java
+++ b/router/src/main/java/rushwood/policy/WriteSelector.java
@@ -20,14 +20,14 @@
    * One attempt in this many may be used to search for the primary; the others are left for the
    * write itself.
    */
-  private static final int DISCOVERY_DIVISOR = 2;
+  private static final int SEARCH_DIVISOR = 2;
 
-  private final int maxDiscoveryAttempts;
+  private final int maxSearchAttempts;
   private final OutlierDetector outliers;
   private final ConcurrencyLimiter limiter;
 
   WriteSelector(int maxAttempts, OutlierDetector outliers, ConcurrencyLimiter limiter) {
-    maxDiscoveryAttempts = maxAttempts / DISCOVERY_DIVISOR;
+    maxSearchAttempts = maxAttempts / SEARCH_DIVISOR;
     this.outliers = outliers;
     this.limiter = limiter;
   }
@@ -39,8 +39,8 @@
       boolean isFree = limiter.hasFreeSlot(pending, primary, now);
       return isFree ? primary.sendDecision : Decision.Wait.PRIMARY_HAS_NO_FREE_SLOT;
     }
-    return canDiscoverPrimary(pending)
-        ? discoverPrimary(pending, now)
+    return canSearchForPrimary(pending)
+        ? searchForPrimary(pending, now)
         : Decision.Wait.PRIMARY_UNKNOWN;
   }
 
@@ -48,16 +48,16 @@
    * Returns whether the write may search for the primary. One write at a time may, at each member
    * once and with a part of its attempts.
    */
-  private boolean canDiscoverPrimary(PendingRequest pending) {
+  private boolean canSearchForPrimary(PendingRequest pending) {
     GroupState group = pending.group;
-    return !group.isDiscoveringPrimary()
-        && pending.attemptCount() < Math.min(group.members().size(), maxDiscoveryAttempts);
+    return !group.isSearchingForPrimary()
+        && pending.attemptCount() < Math.min(group.members().size(), maxSearchAttempts);
   }
 
-  private Decision discoverPrimary(PendingRequest pending, long now) {
+  private Decision searchForPrimary(PendingRequest pending, long now) {
     for (HostState host : pending.group.members()) {
       if (isRoleUnknown(host, now) && !pending.avoids(host) && isFree(pending, host, now)) {
-        pending.group.startPrimaryDiscovery(pending);
+        pending.group.startPrimarySearch(pending);
         return host.sendDecision;
       }
     }
--- a/router/src/test/java/rushwood/policy/RequestDeciderTest.java
+++ b/router/src/test/java/rushwood/policy/RequestDeciderTest.java
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void writeWaitsWhileAnotherDiscoversPrimary() {
+  void writeWaitsWhileAnotherSearchesForPrimary() {
     HostState host = list("a", false);
     assertSame(host.sendDecision, decide(request(WRITE)));
     assertSame(Decision.Wait.PRIMARY_UNKNOWN, decide(request(WRITE)));
--- a/router/src/test/java/rushwood/policy/ScenarioPlayer.java
+++ b/router/src/test/java/rushwood/policy/ScenarioPlayer.java
@@ -40,12 +40,13 @@
  * endpoints HOST...                the complete endpoint list; at time 0 the cached one
  * update HOST...                   changed endpoints
  * refresh-fails                    a request for the endpoint list failed
- * request NAME CLASS [deadline MS from now] [session S] [group N]
+ * request NAME CLASS [deadline MS] [session S] [group N]
+ *                                  a request arrives; its deadline is relative to its arrival
  * result NAME OUTCOME [from HOST] [role ROLE] [took MS] [position MS] [reports ROLE]
  *                                  ends the last attempt, or the last one at that host
  * health-check-result HOST yes|no [position MS] [reports ROLE]
  * disconnect NAME                  the client of the request disconnects
- * shutdown MS                      the router shuts down at that time
+ * shutdown MS                      the router begins to shut down; answers are due before MS
  * </pre>
  *
  * <p>Each action of the policy is recorded as a line: {@code send REQUEST HOST}, {@code cancel
--- a/router/src/test/java/rushwood/policy/SlowStartSimulation.java
+++ b/router/src/test/java/rushwood/policy/SlowStartSimulation.java
@@ -36,7 +36,9 @@
     UNEVEN_TRAFFIC,
     QUIET_THEN_BURST,
     OTHER_HOSTS_FAIL,
+    /** All routers start together with the cold host. */
     ROUTERS_START,
+    /** All routers and all hosts start together; all hosts are cold. */
     ALL_START
   }
 
@@ -174,7 +176,7 @@
         / meanServiceTimeNanos;
   }
 
-  /** Returns the minimum share of its capacity that the cold host has at the given time. */
+  /** Returns the share of its full capacity that a cold host has at the given time. */
   private double coldShare(long time) {
     double initial = settings.coldStartShare();
     return Math.min(1, initial + (1 - initial) * (time - START_TIME) / settings.warmupNanos());
