--- a/cli/src/main/java/rushwood/cli/TestbedRunCommand.java
+++ b/cli/src/main/java/rushwood/cli/TestbedRunCommand.java
@@ -57,10 +57,10 @@
     Map<String, ExperimentResult> results = new LinkedHashMap<>();
     for (String jar : jarArguments) {
       for (String settings : settingsArguments) {
-        RouterProcess.Build build =
-            new RouterProcess.Build(existingJar(jar), jvmFlags, valueOf(settings), cpus);
+        RouterProcess.LaunchOptions options =
+            new RouterProcess.LaunchOptions(existingJar(jar), jvmFlags, valueOf(settings), cpus);
         String label = labelOf(jar) + (settingsArguments.size() > 1 ? " " + labelOf(settings) : "");
-        results.put(label, new SocketExperiment(experiment, build).run());
+        results.put(label, new SocketExperiment(experiment, options).run());
       }
     }
     report.write(experiment.name(), results);
--- a/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
@@ -24,7 +24,7 @@
       List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m");
 
   private final int index;
-  private final RouterProcess.Build build;
+  private final RouterProcess.LaunchOptions launchOptions;
   private final ObjectNode settings;
   private final Path configFile;
   private final InetSocketAddress listen;
@@ -45,7 +45,7 @@
       throws IOException, InterruptedException {
     this.index = index;
     this.settings = settings;
-    build = new RouterProcess.Build(jar, JVM_FLAGS, "", "");
+    launchOptions = new RouterProcess.LaunchOptions(jar, JVM_FLAGS, "", "");
     configFile = directory.resolve("r" + index + ".json");
     listen = Loopback.freeAddress();
     discovery = new StandinDiscovery(loop);
@@ -89,7 +89,7 @@
     if (process != null) {
       process.close();
     }
-    process = new RouterProcess(build, configFile, listen);
+    process = new RouterProcess(launchOptions, configFile, listen);
   }
 
   /**
--- a/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
@@ -11,7 +11,7 @@
  * @param requestClass the class of the clients' requests
  * @param group the number of the group whose hosts serve the requests
  * @param startSeconds when the first client arrives, from the experiment's start
- * @param arrivalSeconds the time over which the arrivals are spread
+ * @param arrivalSpanSeconds the time over which the arrivals are spread
  * @param maxTries the number of tries after which a client gives up
  * @param retryBehavior when a client retries
  * @param tryTimeoutSeconds how long a client waits for the answer to a try
@@ -22,7 +22,7 @@
     @JsonProperty("product") TestbedRequestClass requestClass,
     int group,
     @JsonProperty("from") double startSeconds,
-    @JsonProperty("over") double arrivalSeconds,
+    @JsonProperty("over") double arrivalSpanSeconds,
     @JsonProperty("tries") int maxTries,
     @JsonProperty("manners") RetryBehavior retryBehavior,
     @JsonProperty("outer") double tryTimeoutSeconds,
@@ -34,7 +34,7 @@
 
   /** Returns the arrival of the client at an index, in nanoseconds from the experiment's start. */
   public long arrivalNanos(int index) {
-    return Experiment.secondsToNanos(startSeconds + arrivalSeconds * index / count);
+    return Experiment.secondsToNanos(startSeconds + arrivalSpanSeconds * index / count);
   }
 
   /** Returns how long a client waits for the answer to a try, in nanoseconds. */
@@ -49,7 +49,7 @@
         requestClass,
         group,
         startSeconds,
-        arrivalSeconds,
+        arrivalSpanSeconds,
         maxTries,
         retryBehavior,
         tryTimeoutSeconds,
--- a/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
@@ -29,7 +29,7 @@
   private static final long SAMPLE_INTERVAL_NANOS = 100 * NANOS_PER_MILLI;
 
   private final Experiment experiment;
-  private final RouterProcess.Build build;
+  private final RouterProcess.LaunchOptions launchOptions;
   private final ExperimentResult result;
   private final WriteLedger ledger = new WriteLedger();
   private final MultiThreadIoEventLoopGroup eventLoopGroup =
@@ -40,9 +40,9 @@
   private final ExperimentHosts hosts;
 
   /** Creates a run of an experiment against a router that is started from the given build. */
-  public SocketExperiment(Experiment experiment, RouterProcess.Build build) {
+  public SocketExperiment(Experiment experiment, RouterProcess.LaunchOptions launchOptions) {
     this.experiment = experiment;
-    this.build = build;
+    this.launchOptions = launchOptions;
     result = new ExperimentResult(experiment.name());
     hosts = new ExperimentHosts(experiment, discovery);
   }
@@ -68,7 +68,7 @@
       hosts.start(loop, clock, this::recordExecution);
       InetSocketAddress listen = Loopback.freeAddress();
       Files.writeString(configFile, routerConfiguration(listen, discoveryAddress));
-      try (RouterProcess router = new RouterProcess(build, configFile, listen)) {
+      try (RouterProcess router = new RouterProcess(launchOptions, configFile, listen)) {
         runLoad(router, listen);
       }
       return result;
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualClient.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualClient.java
@@ -53,7 +53,7 @@
     triesMade++;
     tryEnded = false;
     context.counts().tryStarted();
-    addToSeries(ReportNames.TRIES_SERIES);
+    incrementSeries(ReportNames.TRIES_SERIES);
     int tryNumber = triesMade;
     long deadline = events.now() + spec.tryTimeoutNanos();
     RequestId id = new RequestId(number + "-" + triesMade);
@@ -87,7 +87,7 @@
     if (!tryEnded) {
       tryEnded = true;
       context.counts().clientSucceeded(events.elapsed());
-      addToSeries(ReportNames.GOODPUT_SERIES);
+      incrementSeries(ReportNames.GOODPUT_SERIES);
       context.result().recordCompletion(events.now() - startedAt);
     }
   }
@@ -126,7 +126,7 @@
     }
   }
 
-  private void addToSeries(String series) {
+  private void incrementSeries(String series) {
     context.result().addToSeries(series, events.elapsed(), 1);
   }
 }
--- a/testbed/src/main/java/rushwood/testbed/standin/MessageDecoder.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/MessageDecoder.java
@@ -13,7 +13,7 @@
  */
 public final class MessageDecoder extends ByteToMessageDecoder {
   private static final int LENGTH_BYTES = 4;
-  private static final int MAX_MESSAGE_LENGTH = 1 << 20;
+  private static final int MAX_MESSAGE_BYTES = 1 << 20;
 
   private boolean expectStartup;
 
@@ -38,7 +38,7 @@
       return;
     }
     int length = in.getInt(in.readerIndex() + typeBytes);
-    if (length < LENGTH_BYTES || length > MAX_MESSAGE_LENGTH) {
+    if (length < LENGTH_BYTES || length > MAX_MESSAGE_BYTES) {
       context.close();
       in.skipBytes(in.readableBytes());
       return;
--- a/testbed/src/main/java/rushwood/testbed/standin/MessageEncoder.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/MessageEncoder.java
@@ -36,7 +36,7 @@
   }
 
   /** Writes a server's answer to the StartupMessage: AuthenticationOk and ReadyForQuery. */
-  public static void writeAuthenticationOk(ByteBuf out) {
+  public static void writeStartupResponse(ByteBuf out) {
     write(out, AUTHENTICATION, "\0\0\0\0");
     writeReadyForQuery(out);
   }
--- a/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
@@ -17,11 +17,11 @@
    * What a router process is started with.
    *
    * @param jar the router's jar
-   * @param flags the flags of the Java virtual machine
+   * @param jvmFlags the flags of the Java virtual machine
    * @param settings the path of the operator's settings file; empty for the default
    * @param cpus the list of cores that it may use, in the form of {@code taskset -c}; empty for all
    */
-  public record Build(Path jar, List<String> flags, String settings, String cpus) {}
+  public record LaunchOptions(Path jar, List<String> jvmFlags, String settings, String cpus) {}
 
   private static final long START_TIMEOUT_MILLIS = 20_000; // a start takes a second or two
   private static final long POLL_INTERVAL_MILLIS = 20;
@@ -39,16 +39,16 @@
    * @throws IOException if the process cannot be created, or if it ends or accepts no connection in
    *     time; then the message contains the router's log
    */
-  public RouterProcess(Build build, Path config, InetSocketAddress listen)
+  public RouterProcess(LaunchOptions options, Path config, InetSocketAddress listen)
       throws IOException, InterruptedException {
     log = Files.createTempFile("router", ".log");
     ProcessBuilder builder =
-        new ProcessBuilder(command(build))
+        new ProcessBuilder(command(options))
             .redirectErrorStream(true)
             .redirectOutput(log.toFile())
             .redirectInput(new File("/dev/null"));
     builder.environment().put("NODE_CONFIG", config.toString());
-    builder.environment().put("RUSHWOOD_SETTINGS", build.settings());
+    builder.environment().put("RUSHWOOD_SETTINGS", options.settings());
     process = builder.start();
     try {
       awaitReady(listen);
@@ -58,14 +58,14 @@
     }
   }
 
-  private static List<String> command(Build build) {
+  private static List<String> command(LaunchOptions options) {
     List<String> command = new ArrayList<>();
-    if (!build.cpus().isEmpty()) {
-      command.addAll(List.of("taskset", "-c", build.cpus()));
+    if (!options.cpus().isEmpty()) {
+      command.addAll(List.of("taskset", "-c", options.cpus()));
     }
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(build.flags());
-    command.addAll(List.of("-jar", build.jar().toString(), "serve"));
+    command.addAll(options.jvmFlags());
+    command.addAll(List.of("-jar", options.jar().toString(), "serve"));
     return command;
   }
 
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinHost.java
@@ -111,7 +111,7 @@
     protected void channelRead0(ChannelHandlerContext context, ProtocolMessage message) {
       ByteBuf out = context.alloc().buffer(INITIAL_BUFFER_BYTES);
       switch (message.type()) {
-        case ProtocolMessage.STARTUP -> MessageEncoder.writeAuthenticationOk(out);
+        case ProtocolMessage.STARTUP -> MessageEncoder.writeStartupResponse(out);
         case ProtocolMessage.QUERY -> handleQuery(context, message, out);
         default -> context.close();
       }
--- a/testbed/src/test/java/rushwood/testbed/ExperimentRuns.java
+++ b/testbed/src/test/java/rushwood/testbed/ExperimentRuns.java
@@ -35,7 +35,7 @@
 
   static ExperimentResult runOnSockets(Experiment experiment)
       throws IOException, InterruptedException {
-    RouterProcess.Build build = new RouterProcess.Build(ROUTER_JAR, JVM_FLAGS, "", "");
-    return new SocketExperiment(experiment, build).run();
+    RouterProcess.LaunchOptions options = new RouterProcess.LaunchOptions(ROUTER_JAR, JVM_FLAGS, "", "");
+    return new SocketExperiment(experiment, options).run();
   }
 }
