--- a/cli/src/test/java/rushwood/cli/KnownRedTest.java
+++ b/cli/src/test/java/rushwood/cli/KnownRedTest.java
@@ -80,7 +80,7 @@
     assertEquals(
         root.resolve(LIST_FILE) + ":3: " + reason + ": " + line + "\n",
         result.output(),
-        "the line and the reason, and no pattern");
+        "expected only the reason and the line, and no pattern");
   }
 
   private Result runWithFakeMaven(int mavenExitCode) throws Exception {
--- a/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ClusterMember.java
@@ -105,7 +105,9 @@
         "r" + index, listen, discoveryAddress, index + 1, MAX_SOCKETS, settings);
   }
 
-  /** Records that a host has received a request from the router; on the cluster's event loop. */
+  /**
+   * Records that a host has received a request from the router. Called on the cluster's event loop.
+   */
   void recordRequest(String host, long now) {
     lastRequestNanosByHost.put(host, now);
     requestsByHost.merge(host, 1L, Long::sum);
--- a/testbed/src/main/java/rushwood/testbed/load/Experiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/Experiment.java
@@ -23,10 +23,11 @@
  * the clients arrive. Read from a JSON file with the schema {@code experiment.schema.json}.
  *
  * @param seed the seed of all random numbers of hosts, clients and routers
- * @param durationSeconds when the experiment ends at the latest
- * @param maxSockets the number of sockets that a router may use
+ * @param durationSeconds the maximum duration of the experiment
+ * @param maxSockets the maximum number of sockets of a router
  * @param routerCount the number of routers; an experiment on sockets always runs one
- * @param settings router settings that replace those of {@link RouterSettings} of the same name
+ * @param settings router settings; each top-level value replaces the one of the same name in {@link
+ *     RouterSettings#forCluster}
  * @param events the events, in order of their times
  */
 public record Experiment(
@@ -61,7 +62,7 @@
     return Math.round(seconds * 1e9);
   }
 
-  /** Returns the latest end of the experiment, in nanoseconds from its start. */
+  /** Returns the maximum duration of the experiment, in nanoseconds. */
   public long durationNanos() {
     return secondsToNanos(durationSeconds);
   }
--- a/testbed/src/main/java/rushwood/testbed/load/HostSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/HostSpec.java
@@ -6,17 +6,19 @@
 /**
  * A host of an experiment.
  *
+ * @param id the id of the host, by which events refer to it
  * @param group the number of the group that the host belongs to
  * @param primary whether the host starts as the primary of its group
- * @param rate requests per second that the host serves when warm, over all slots
- * @param slots number of requests that the host processes concurrently
- * @param queue number of requests that may wait for a slot
- * @param coldStartSpeed speed right after a restart, as a share of the warm speed
- * @param warmupSeconds time from a restart until the host is warm
- * @param overloadMultiple load above which a host that warms up is overloaded, as a multiple of its
- *     current speed
- * @param overloadWindowSeconds time window over which that load is measured; 0 to not measure it
- * @param lagSeconds replication lag while the host is a replica
+ * @param rate the requests per second that all slots together complete when the host is warm
+ * @param slots the number of requests that the host executes at once
+ * @param queue the number of requests that may wait for a slot
+ * @param coldStartSpeed the speed right after a restart, as a share of the warm speed
+ * @param warmupSeconds the time from a restart until the host is warm
+ * @param overloadMultiple the work that the host withstands while it warms up, as a multiple of the
+ *     work that it completes at its present speed
+ * @param overloadWindowSeconds the window over which arriving work is compared with that limit; 0
+ *     if the host withstands any amount
+ * @param lagSeconds how far the host lags behind the primary while it is a replica
  * @param crashesOnOverload whether the host crashes when it is overloaded while it warms up
  */
 public record HostSpec(
--- a/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
+++ b/testbed/src/main/java/rushwood/testbed/load/OverloadBenchmark.java
@@ -71,8 +71,8 @@
   private long nextRequestNumber;
 
   /**
-   * Ignores all actions. The router's tests have an equal class, which cannot be used here because
-   * the router's jar contains no test code.
+   * Ignores all actions. The router's tests have an equivalent class, which cannot be used here
+   * because the router's jar contains no test code.
    */
   private static final class NoOpActions implements PolicyActions {
     @Override
--- a/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
@@ -13,9 +13,10 @@
  * @param startSeconds when the first client arrives, from the experiment's start
  * @param arrivalSpanSeconds the time over which the arrivals are spread
  * @param maxTries the number of tries after which a client gives up
- * @param retryBehavior when a client retries
+ * @param retryBehavior how long a client waits before it retries
  * @param tryTimeoutSeconds how long a client waits for the answer to a try
- * @param keepsConnection whether a client keeps its connection between tries and after the last one
+ * @param keepsConnection whether a client keeps its connection between tries and after the last
+ *     one; if not, it keeps the connection only while it waits for the time in a Retry-After
  */
 public record PopulationSpec(
     int count,
--- a/testbed/src/main/java/rushwood/testbed/load/ReportNames.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ReportNames.java
@@ -89,7 +89,10 @@
 
   // Figures of hosts: of all, or of one host after its id, see ofHost
 
-  /** See {@link rushwood.testbed.model.HostModel#worstColdOverload()}. */
+  /**
+   * The most work that arrived at a cold host within a window, as a share of what it withstands;
+   * see {@link rushwood.testbed.model.HostModel#worstColdOverload()}.
+   */
   public static final String WORST_COLD_OVERLOAD = "worst_cold_push";
 
   /** Crashes caused by overload. */
--- a/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
+++ b/testbed/src/main/java/rushwood/testbed/load/RouterCluster.java
@@ -48,9 +48,9 @@
    *
    * @param drainGraceSeconds the routers' setting {@code drain_grace}
    */
-  public RouterCluster(Path jar, int routers, int hostCount, double drainGraceSeconds)
+  public RouterCluster(Path jar, int routerCount, int hostCount, double drainGraceSeconds)
       throws IOException, InterruptedException {
-    this(jar, routers, hostCount, drainGraceSeconds, FAST_HOST);
+    this(jar, routerCount, hostCount, drainGraceSeconds, FAST_HOST);
   }
 
   /**
@@ -62,7 +62,7 @@
    */
   public RouterCluster(
       Path jar,
-      int routers,
+      int routerCount,
       int hostCount,
       double drainGraceSeconds,
       HostModel.Parameters parameters)
@@ -70,9 +70,9 @@
     for (int i = 0; i < hostCount; i++) {
       startHost("h" + i, parameters, i);
     }
-    ObjectNode settings = RouterSettings.forCluster(routers);
+    ObjectNode settings = RouterSettings.forCluster(routerCount);
     ((ObjectNode) settings.get("rules")).put("drain_grace", drainGraceSeconds);
-    for (int i = 0; i < routers; i++) {
+    for (int i = 0; i < routerCount; i++) {
       members.add(new ClusterMember(i, loop, jar, settings, directory));
     }
     runOnLoop(() -> members.forEach(this::announceAllHosts));
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Restarts the process of a host, which is cold afterwards, and publishes its new start time
-   * through all agents; called on the event loop.
+   * Restarts the model of a host, which is cold afterwards, and publishes the new start time
+   * through all agents. The host's connections stay open. Called on the event loop.
    */
   public void restartHost(String host) {
     host(host).model().restart(now());
--- a/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
+++ b/testbed/src/main/java/rushwood/testbed/load/ScheduledEvent.java
@@ -55,7 +55,7 @@
     /** Makes discovery send no more changes. */
     void silenceDiscovery();
 
-    /** Makes discovery publish the endpoints with their current roles. */
+    /** Ends a silence of discovery, and makes it publish all endpoints with their current roles. */
     void publishEndpoints();
 
     /** Sends SIGTERM to the router. */
--- a/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketClient.java
@@ -10,8 +10,8 @@
  * A client of an experiment on sockets. It makes one request, in as many tries as its {@link
  * PopulationSpec} allows, and is used on the event loop of its {@link LoadContext} only.
  *
- * <p>A write whose try failed or was not answered may have run; it is not retried and counts as one
- * of unknown outcome.
+ * <p>A write whose try failed or was not answered may have run. It is not retried, not even if it
+ * has an idempotency key, and counts as one of unknown outcome.
  */
 final class SocketClient {
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -33,14 +33,13 @@
   private final PopulationCounts counts;
   private final SplittableRandom random;
   private long startedAt;
-  private long tryDeadline; // also limits connecting; the router is told what is left after it
+  private long tryDeadline; // covers connecting too; the query tells the router the time left
   private int triesMade;
   private int resends;
   private long retryAfterNanos; // of the last try; 0 if it had none
-  private @Nullable ClientConnection
-      connection; // the latest one; data and closing of earlier ones are ignored
+  private @Nullable ClientConnection connection; // the latest one
   private boolean tryEnded;
-  private boolean retryAfterReceived; // with the last try's rejection
+  private boolean retryAfterReceived; // whether the last try was rejected with a Retry-After
   private boolean finished;
 
   /** Creates the client; the clients of a population share {@code random}. */
@@ -96,8 +95,8 @@
 
   private void sendQuery(ClientConnection target) {
     String id = number + "-" + triesMade + (resends > 0 ? "-" + resends : "");
-    long deadlineMillis = Math.max(1, (tryDeadline - context.now()) / NANOS_PER_MILLI);
-    target.send(Statement.format(spec.requestClass(), key(), id, deadlineMillis, spec.group()));
+    long timeoutMillis = Math.max(1, (tryDeadline - context.now()) / NANOS_PER_MILLI);
+    target.send(Statement.format(spec.requestClass(), key(), id, timeoutMillis, spec.group()));
   }
 
   private String key() {
@@ -191,7 +190,7 @@
     }
   }
 
-  /** Handles events of the current connection; data and closing of earlier ones are ignored. */
+  /** Handles connection events; those of earlier connections are ignored, except failed opens. */
   private final class ConnectionListener implements ClientConnection.Listener {
     @Override
     public void connectionOpened(ClientConnection opened) {
@@ -254,8 +253,8 @@
     }
 
     /**
-     * Resends a read once, because the router may have closed the connection before it received the
-     * query; a write may have run.
+     * Resends a read, once per client, because the router may have closed the connection before it
+     * received the query. A write is not resent, because it may have run.
      */
     private void resendOrEnd() {
       if (hasSentQuery() && resends < MAX_RESENDS && !spec.isWrite()) {
--- a/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
+++ b/testbed/src/main/java/rushwood/testbed/load/SocketExperiment.java
@@ -39,7 +39,7 @@
   private final StandinDiscovery discovery = new StandinDiscovery(loop);
   private final ExperimentHosts hosts;
 
-  /** Creates a run of an experiment against a router that is started from the given build. */
+  /** Creates a run of an experiment against a router that is started with the given options. */
   public SocketExperiment(Experiment experiment, RouterProcess.LaunchOptions launchOptions) {
     this.experiment = experiment;
     this.launchOptions = launchOptions;
--- a/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/Simulation.java
@@ -72,8 +72,7 @@
   }
 
   /**
-   * Runs the experiment until every client was served or gave up, or the experiment's duration is
-   * over.
+   * Runs the experiment until every client has finished or the experiment's duration has passed.
    *
    * @throws UnsupportedOperationException if an event silences discovery or terminates a router,
    *     neither of which is simulated
--- a/testbed/src/main/java/rushwood/testbed/simulation/SimulationCounts.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/SimulationCounts.java
@@ -62,12 +62,12 @@
     return unfinished == 0;
   }
 
-  /** Returns the number of clients that were served. */
+  /** Returns the number of clients that succeeded. */
   int succeeded() {
     return succeeded;
   }
 
-  /** Returns when the last client was served, in seconds from the start; 0 if none was. */
+  /** Returns when the last client succeeded, in seconds from the start; 0 if none has. */
   double lastSuccessSeconds() {
     return lastSuccessNanos / 1e9;
   }
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualRouter.java
@@ -74,7 +74,7 @@
     callPolicy(() -> policy.endpointsReplaced(events.now(), context.store().endpoints(), true));
   }
 
-  /** Makes a call to the policy and those that it triggers, or queues it if one is running. */
+  /** Runs a call to the policy and all calls that it triggers; queues it if another is running. */
   private void callPolicy(Runnable call) {
     pendingCalls.add(call);
     if (inPolicyCall) {
--- a/testbed/src/main/java/rushwood/testbed/simulation/VirtualStore.java
+++ b/testbed/src/main/java/rushwood/testbed/simulation/VirtualStore.java
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Returns the host with an id.
+   * Returns the host with the given id.
    *
    * @throws NullPointerException if there is none
    */
@@ -36,7 +36,7 @@
     return hosts.values();
   }
 
-  /** Returns an endpoint for each host, also one that is down; all are ready. */
+  /** Returns an endpoint for each host, including hosts that are down; all are in state READY. */
   List<Endpoint> endpoints() {
     return hosts.values().stream().map(VirtualHost::toEndpoint).toList();
   }
@@ -58,7 +58,7 @@
     return rate;
   }
 
-  /** Returns the highest {@link rushwood.testbed.model.HostModel#worstColdOverload()} of a host. */
+  /** Returns the highest {@link rushwood.testbed.model.HostModel#worstColdOverload()}. */
   double worstColdOverload() {
     return hosts.values().stream()
         .mapToDouble(host -> host.model().worstColdOverload())
--- a/testbed/src/main/java/rushwood/testbed/standin/EndpointEntry.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/EndpointEntry.java
@@ -8,7 +8,7 @@
 /**
  * An endpoint in the list of a {@link StandinDiscovery}.
  *
- * @param id the id of its host
+ * @param id the id under which discovery lists the host
  * @param address the address on which the host listens
  * @param group the number of the host's group
  * @param startedMillis the Unix time at which the host's process started, in milliseconds; 0 for
--- a/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/RouterProcess.java
@@ -14,7 +14,7 @@
 /** A router that runs from its jar in a process of its own and logs to a temporary file. */
 public final class RouterProcess implements AutoCloseable {
   /**
-   * What a router process is started with.
+   * The options with which a router process is started.
    *
    * @param jar the router's jar
    * @param jvmFlags the flags of the Java virtual machine
--- a/testbed/src/main/java/rushwood/testbed/standin/StandinDiscovery.java
+++ b/testbed/src/main/java/rushwood/testbed/standin/StandinDiscovery.java
@@ -105,7 +105,7 @@
 
   /**
    * Sets whether the agent is unresponsive: it accepts requests without ever answering them, and is
-   * silent. Resetting it ends the silence too, also one that {@link #setSilent} began.
+   * silent. Setting false also ends a silence that {@link #setSilent} began.
    */
   public void setUnresponsive(boolean unresponsive) {
     this.unresponsive = unresponsive;
--- a/testbed/src/test/java/rushwood/testbed/ColdHostClusterTest.java
+++ b/testbed/src/test/java/rushwood/testbed/ColdHostClusterTest.java
@@ -37,12 +37,13 @@
   }
 
   /**
-   * Asserts that in no overload window the cold host received more than it bears: N requests at its
-   * lowest speed, and 2 * sqrt(N) + 2 more for random variation.
+   * Asserts that the work that reached the cold host in any overload window exceeded the host's
+   * limit by no more than random variation explains: 2 * sqrt(N) + 2 requests, where N is the limit
+   * in requests at the host's lowest speed.
    */
   private void assertColdHostNotOverloaded() throws Exception {
     Thread.sleep(4000); // the slowest part of its warm-up of 14 s
-    double bearableRequests =
+    double limitRequests =
         HOST_PARAMETERS.overloadMultiple()
             * HOST_PARAMETERS.coldStartSpeed()
             * HOST_PARAMETERS.rate()
@@ -50,11 +51,10 @@
             / 1e9;
     double load = cluster.computeOnLoop(() -> cluster.hostModel(COLD_HOST).worstColdOverload());
     assertTrue(
-        load > 0.05,
-        "the cold host received hardly any requests: " + load + " times what it bears");
+        load > 0.05, "the cold host received hardly any requests: " + load + " times its limit");
     assertTrue(
-        load <= 1 + (2 * Math.sqrt(bearableRequests) + 2) / bearableRequests,
-        "the cold host received " + load + " times what it bears");
+        load <= 1 + (2 * Math.sqrt(limitRequests) + 2) / limitRequests,
+        "the cold host received " + load + " times its limit");
   }
 
   @Test
--- a/testbed/src/test/java/rushwood/testbed/EndpointDrainTest.java
+++ b/testbed/src/test/java/rushwood/testbed/EndpointDrainTest.java
@@ -127,7 +127,10 @@
         () -> "the router sends nothing to h1; its log: " + logOf(member));
   }
 
-  /** The host is one of hundreds in an indented list, and a watch has stopped sending changes. */
+  /**
+   * The host is one of hundreds in an indented list. It is announced on watches first, and then
+   * while the watches are muted.
+   */
   @Test
   void announcedAmongHundredsOfHosts() throws Exception {
     draining.changeAgents(agent -> agent.rewriteResponses(StandinDiscovery::indent));
--- a/testbed/src/test/java/rushwood/testbed/ExperimentRuns.java
+++ b/testbed/src/test/java/rushwood/testbed/ExperimentRuns.java
@@ -35,7 +35,8 @@
 
   static ExperimentResult runOnSockets(Experiment experiment)
       throws IOException, InterruptedException {
-    RouterProcess.LaunchOptions options = new RouterProcess.LaunchOptions(ROUTER_JAR, JVM_FLAGS, "", "");
+    RouterProcess.LaunchOptions options =
+        new RouterProcess.LaunchOptions(ROUTER_JAR, JVM_FLAGS, "", "");
     return new SocketExperiment(experiment, options).run();
   }
 }
