--- a/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
+++ b/testbed/src/main/java/rushwood/testbed/load/PopulationSpec.java
@@ -11,18 +11,19 @@
  * @param requestClass the class of the clients' requests
  * @param group the number of the group whose hosts serve the requests
  * @param startSeconds when the first client arrives, from the experiment's start
- * @param arrivalSeconds the time over which the arrivals are spread
+ * @param arrivalSpanSeconds the time over which the arrivals are spread
  * @param maxTries the number of tries after which a client gives up
- * @param retryBehavior when a client retries
+ * @param retryBehavior how long a client waits before it retries
  * @param tryTimeoutSeconds how long a client waits for the answer to a try
- * @param keepsConnection whether a client keeps its connection between tries and after the last one
+ * @param keepsConnection whether a client keeps its connection between tries and after the last
+ *     one; if not, it keeps the connection only while it waits for the time in a Retry-After
  */
 public record PopulationSpec(
     int count,
     @JsonProperty("product") TestbedRequestClass requestClass,
     int group,
     @JsonProperty("from") double startSeconds,
-    @JsonProperty("over") double arrivalSeconds,
+    @JsonProperty("over") double arrivalSpanSeconds,
     @JsonProperty("tries") int maxTries,
     @JsonProperty("manners") RetryBehavior retryBehavior,
     @JsonProperty("outer") double tryTimeoutSeconds,
@@ -34,7 +35,7 @@
 
   /** Returns the arrival of the client at an index, in nanoseconds from the experiment's start. */
   public long arrivalNanos(int index) {
-    return Experiment.secondsToNanos(startSeconds + arrivalSeconds * index / count);
+    return Experiment.secondsToNanos(startSeconds + arrivalSpanSeconds * index / count);
   }
 
   /** Returns how long a client waits for the answer to a try, in nanoseconds. */
@@ -49,7 +50,7 @@
         requestClass,
         group,
         startSeconds,
-        arrivalSeconds,
+        arrivalSpanSeconds,
         maxTries,
         retryBehavior,
         tryTimeoutSeconds,
