--- a/router/src/main/java/rushwood/net/AdmissionReporter.java
+++ b/router/src/main/java/rushwood/net/AdmissionReporter.java
@@ -30,13 +30,14 @@
     retryAfterSent = false;
   }
 
-  /** The next answer to be written carries a Retry-After time. */
+  /** Records that the next answer to be written carries a Retry-After time. */
   void retryAfterAnnounced() {
     retryAfterSent = true;
   }
 
   /**
-   * Bytes were written to the client. The startup response itself does not count as an answer.
+   * Records that bytes were written to the client. The startup response itself does not count as an
+   * answer.
    *
    * @param isStartingUp whether the startup message has not been answered yet
    */
--- a/router/src/main/java/rushwood/net/ClientTimeout.java
+++ b/router/src/main/java/rushwood/net/ClientTimeout.java
@@ -26,9 +26,10 @@
   }
 
   /**
-   * Bytes were read from the client.
+   * Records that bytes were read from the client.
    *
-   * @param isContinuation whether a message was incomplete before, or the startup message is due
+   * @param isContinuation whether the router was already waiting for the startup message or for the
+   *     rest of a message
    */
   void bytesRead(long now, boolean isContinuation) {
     lastActivity = now;
@@ -38,8 +39,8 @@
   }
 
   /**
-   * Bytes were written to the client. Unless it is starting up, this restarts the time that it has
-   * to complete a message.
+   * Records that bytes were written to the client. Unless the client is starting up, this restarts
+   * the time that it has to complete a message.
    *
    * @param isStartingUp whether the startup message has not been answered yet
    */
@@ -54,7 +55,8 @@
    * Returns the timeout that has expired, or {@link Expiry#NONE}.
    *
    * @param isWritable whether the channel is writable; if not, the client has answers to read
-   * @param hasIncompleteMessage whether the startup message or the rest of a message is due
+   * @param hasIncompleteMessage whether the startup message or the rest of a message has not
+   *     arrived
    */
   Expiry check(long now, boolean isWritable, boolean hasIncompleteMessage) {
     long latestExpired = now - TIMEOUT_NANOS;
--- a/router/src/main/java/rushwood/net/ConnectionLimiter.java
+++ b/router/src/main/java/rushwood/net/ConnectionLimiter.java
@@ -76,7 +76,10 @@
     return ClientErrors.TOO_MANY_CONNECTIONS.withRetryAfter(retryAfterNanos.getAsLong());
   }
 
-  /** A connection was accepted, possibly above the limit. */
+  /**
+   * Called when a connection was accepted. Closes connections as {@link #closeIdleBelowLimit} does,
+   * and if there are too many, schedules the check that closes or refuses some of them.
+   */
   void connectionAccepted() {
     closeIdleBelowLimit();
     if (admission.isOverLimit() && !enforcementScheduled) {
--- a/router/src/main/java/rushwood/net/FrontendConnection.java
+++ b/router/src/main/java/rushwood/net/FrontendConnection.java
@@ -91,9 +91,9 @@
   }
 
   /**
-   * Processes input in a separate task of the event loop, after it was read. A disconnect that
-   * arrived right behind the input is thus noticed first, and the input is not processed because no
-   * client waits for an answer.
+   * Schedules a task of the event loop that processes the buffered input. In each turn the event
+   * loop reads its sockets before it runs tasks, so a disconnect that arrived right behind the
+   * input is noticed first. The input is then not processed, because no client waits for an answer.
    */
   @Override
   public void resumeLater() {
--- a/router/src/main/java/rushwood/net/InputLimit.java
+++ b/router/src/main/java/rushwood/net/InputLimit.java
@@ -21,7 +21,8 @@
  *
  * <p>Input that exceeds the limit and all input after it is dropped, and the connection is closed
  * with an error once the pending request is answered. A pending request is never refused for lack
- * of memory, but an incomplete message above the second limit is refused while memory is exhausted.
+ * of memory, but an incomplete message above {@link #MAX_PIPELINED_BYTES_LOW_MEMORY} is refused
+ * while memory is exhausted.
  */
 final class InputLimit {
   // Eight statements of the maximum length.
--- a/router/src/main/java/rushwood/net/LingeringClose.java
+++ b/router/src/main/java/rushwood/net/LingeringClose.java
@@ -17,7 +17,7 @@
 class LingeringClose extends ChannelInboundHandlerAdapter {
   // Time for the peer to read the pending output.
   private static final long WRITE_TIMEOUT_NANOS = 2_400_000_000L;
-  // Time for the peer to close its side after that: many round trips.
+  // Time for the peer to close its side after the output is shut down: many round trips.
   private static final long LINGER_NANOS = 1_000_000_000L;
   private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
@@ -25,7 +25,7 @@
   private long deadline;
   private int discardedBytes;
   private boolean lingering;
-  private boolean outputShutDown; // cleared once the deadline has been extended for it
+  private boolean outputShutDown; // until checkDeadline has set the linger deadline
 
   LingeringClose(Channel channel) {
     this.channel = channel;
--- a/router/src/main/java/rushwood/net/RequestSubmitter.java
+++ b/router/src/main/java/rushwood/net/RequestSubmitter.java
@@ -127,7 +127,10 @@
     return lastRequestBytes;
   }
 
-  /** The client no longer waits for an answer. Has no effect if no request is in flight. */
+  /**
+   * Tells the dispatcher that the client no longer waits for an answer. Has no effect if no request
+   * is in flight.
+   */
   void clientDisconnected() {
     if (lastRequestId != null) {
       dispatcher.clientDisconnected(lastRequestId);
--- a/router/src/main/java/rushwood/net/WarmupBackend.java
+++ b/router/src/main/java/rushwood/net/WarmupBackend.java
@@ -17,7 +17,7 @@
   private static final int LAGGING_KIND = 9;
   private static final String INTERNAL_ERROR = "XX000";
 
-  /** A parameter of each answer, and the row because a health check reads its load report there. */
+  /** Sent as a parameter of each answer and in each row: a health check reads it from the row. */
   private static final String LOAD_REPORT = "x0=0,x1=0";
 
   private final int firstAnswerKind;
--- a/router/src/main/java/rushwood/protocol/FrontendCallbacks.java
+++ b/router/src/main/java/rushwood/protocol/FrontendCallbacks.java
@@ -44,6 +44,9 @@
   /** Closes the connection after all output has been written. */
   void close();
 
-  /** Schedules a call of {@link FrontendProtocol#resume} in a later turn of the event loop. */
+  /**
+   * Schedules a call of {@link FrontendProtocol#resume} as a separate task of the event loop. It
+   * may run in the same turn, but never before this method has returned.
+   */
   void resumeLater();
 }
--- a/router/src/main/java/rushwood/protocol/FrontendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/FrontendProtocol.java
@@ -222,7 +222,7 @@
     if (reader.unreadBytes() > 0) {
       callbacks.resumeLater();
     } else if (isDraining) {
-      // In this turn: by the next one the client may have sent another request.
+      // Not in a later task: the client's next request may have been read by then.
       closeIfDone();
     }
   }
--- a/router/src/main/java/rushwood/protocol/RowChecker.java
+++ b/router/src/main/java/rushwood/protocol/RowChecker.java
@@ -11,7 +11,10 @@
 final class RowChecker {
   private static final char NO_TYPE = 0;
 
-  /** The column count and the length of the first value. A RowDescription is never shorter. */
+  /**
+   * The column count and the length of the first value. Also a lower bound for the body of a valid
+   * RowDescription, which is longer.
+   */
   private static final int DATA_ROW_HEADER_BYTES = 6;
 
   /** The fields that follow the name of a column in a RowDescription. */
--- a/router/src/main/java/rushwood/server/HangUpSignal.java
+++ b/router/src/main/java/rushwood/server/HangUpSignal.java
@@ -6,7 +6,7 @@
 /**
  * Handler of SIGHUP. It is installed first thing in the program, because an unhandled SIGHUP
  * terminates the process. A signal that arrives before {@link #forwardTo} is kept pending, because
- * the configuration that the router started with may have been read before the change.
+ * the router may have read its configuration before the change that the signal announces.
  *
  * <p>Signals arrive on a thread of the Java virtual machine; this object's lock guards its state.
  */
--- a/router/src/main/java/rushwood/server/RouterAssembler.java
+++ b/router/src/main/java/rushwood/server/RouterAssembler.java
@@ -35,7 +35,7 @@
   /**
    * Descriptors of {@code limits.sockets} that are not available to admitted clients and backend
    * connections: 30 are for files, the event loop, the listener and discovery, the rest for client
-   * connections that are being refused or closed.
+   * connections that are accepted above the limit for a moment or are being refused or closed.
    */
   private static final int RESERVED_SOCKETS = 54;
 
--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -59,7 +59,7 @@
    */
   private static final long MIN_SERVING_NANOS = 550 * NANOS_PER_MILLI;
 
-  /** Upper bound of the time from SIGTERM to the shutdown hook, for which two threads start. */
+  /** Upper bound of the time from SIGTERM to the shutdown hook; two threads start in between. */
   private static final long MAX_SIGNAL_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
   /** Time from the end of the sequence to SIGKILL, for the Java runtime to exit. */
@@ -84,8 +84,8 @@
    * Computes the times of the shutdown, which begins with {@link #start}.
    *
    * @param maxRequestTimeoutNanos the longest that any client waits for an answer
-   * @param hookDelayNanos time since the shutdown hook was called, which may have waited for the
-   *     start of the router to finish and for the event loop
+   * @param hookDelayNanos time since the shutdown hook was called; the hook may have waited for the
+   *     start of the router to finish, and its task for the event loop
    * @param onDrained closes everything; runs once, when no connection is open or the last answer is
    *     overdue
    */
--- a/router/src/main/java/rushwood/server/Warmup.java
+++ b/router/src/main/java/rushwood/server/Warmup.java
@@ -69,7 +69,7 @@
    * Creates a warm-up with the settings of the real router.
    *
    * @param eventLoopGroup the group whose only event loop is {@code eventLoop}
-   * @param allocator allocates the buffers of requests to backends
+   * @param allocator allocates the buffers of the connections to backends
    */
   Warmup(
       RouterConfig config,
--- a/router/src/test/java/rushwood/net/FrontendServerTest.java
+++ b/router/src/test/java/rushwood/net/FrontendServerTest.java
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Starts a session and has a statement answered, after which the connection is idle. The first
-   * answer is written together with the startup response, which does not count as an answer, so a
-   * second one follows.
+   * Starts a session and has statements answered, after which the connection is idle. The answer to
+   * the first statement is written together with the startup response and does not count as an
+   * answer, so a second statement is sent.
    */
   private void startSessionAndQuery(EmbeddedChannel channel) {
     channel.writeInbound(
--- a/router/src/test/java/rushwood/server/BackendFailureTest.java
+++ b/router/src/test/java/rushwood/server/BackendFailureTest.java
@@ -92,7 +92,9 @@
     }
   }
 
-  /** A write whose connection ends after it was sent completely may have run: no retry. */
+  /**
+   * A write whose connection ends after it was sent completely may have run, so it is not retried.
+   */
   @Test
   void backendResetDuringWrite() throws Exception {
     byte[] readOnly =
@@ -121,7 +123,7 @@
         for (int readNumber = 0; readNumber < 20; readNumber++) {
           client.query(read("r" + i + "-" + readNumber));
         }
-        Thread.sleep(600); // the primary gets no trial request before
+        Thread.sleep(600); // until the primary may get its next trial request
       }
     }
     assertTrue(
--- a/router/src/test/java/rushwood/server/ClientDisconnectTest.java
+++ b/router/src/test/java/rushwood/server/ClientDisconnectTest.java
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Sleeps, because an attempt that starts later than this after a disconnect is a fault. */
+  /** Sleeps for the time in which an attempt for a disconnected client may still start. */
   private static void letDisconnectTakeEffect() throws InterruptedException {
     Thread.sleep(DISCONNECT_MILLIS);
   }
@@ -190,7 +190,7 @@
         });
   }
 
-  /** A cancel request with a wrong key, or that of an idle or closed session, has no effect. */
+  /** A cancel request with a wrong key or the key of an idle or closed session has no effect. */
   @Test
   void cancelRequestWithWrongKey() throws Exception {
     TestClient closed = connectClient();
--- a/router/src/test/java/rushwood/server/GracefulShutdownTest.java
+++ b/router/src/test/java/rushwood/server/GracefulShutdownTest.java
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Clients that are idle and never disconnect, that wait for a response, one of them longer than
-   * the process runs, that have pipelined requests, or that have sent half of a statement.
+   * SIGTERM while clients are idle and never disconnect, wait for a response (one of them for
+   * longer than the process runs), have pipelined requests, or have sent half of a statement.
    */
   @Test
   void terminatedWithConnectionsInEachState() throws Exception {
