--- a/router/src/main/java/rushwood/protocol/FrontendProtocol.java
+++ b/router/src/main/java/rushwood/protocol/FrontendProtocol.java
@@ -236,8 +236,9 @@
   }
 
   /**
-   * Returns whether the router waits for more input to complete a message: the startup message, or
-   * a message of which a part has arrived.
+   * Returns whether the startup message has not arrived, or input is unread although no request is
+   * pending. Such input is part of a message, unless the caller has not called {@link #resume} for
+   * it yet; then it may contain complete messages.
    */
   public boolean hasIncompleteMessage() {
     return switch (state) {
