--- a/router/src/main/java/rushwood/api/PolicyActions.java
+++ b/router/src/main/java/rushwood/api/PolicyActions.java
@@ -30,7 +30,7 @@
    * Sends the client the final answer that trying again is harmless, because no host ran the
    * request or because it is idempotent.
    *
-   * @param retryAfterNanos the Retry-After time that the client is told, 0 for none
+   * @param retryAfterNanos the Retry-After time to send to the client, 0 for none
    */
   void reject(RequestId request, long retryAfterNanos);
 
--- a/router/src/main/java/rushwood/api/Request.java
+++ b/router/src/main/java/rushwood/api/Request.java
@@ -23,7 +23,7 @@
     long fingerprint,
     long waitedNanos) {
 
-  /** Creates a request without a fingerprint, whose client was not told to wait. */
+  /** Creates a request without a fingerprint, whose client was not sent a Retry-After. */
   public Request(
       RequestId id,
       RequestClass requestClass,
--- a/router/src/main/java/rushwood/api/RoutingSettings.java
+++ b/router/src/main/java/rushwood/api/RoutingSettings.java
@@ -14,8 +14,8 @@
  *     requests carry the time since it, see {@link Request#sinceLastWriteNanos()}
  * @param hasHealthChecks whether hosts answer health checks
  * @param canCancel whether an attempt in flight can be cancelled
- * @param canSendRetryAfter whether clients may be told a Retry-After time
- * @param maxRetryAfterNanos the longest Retry-After time that clients may be told
+ * @param canSendRetryAfter whether clients may be sent a Retry-After time
+ * @param maxRetryAfterNanos the longest Retry-After time that clients may be sent
  * @param maxAttempts the maximum number of attempts at a request
  * @param clockResolutionNanos the resolution of the clock, by which timers may fire late
  * @param isRemovalBinding whether a host must not be used once discovery has removed it
--- a/router/src/main/java/rushwood/overload/ConnectionAdmission.java
+++ b/router/src/main/java/rushwood/overload/ConnectionAdmission.java
@@ -18,7 +18,7 @@
    * Creates an admission without connections.
    *
    * @param maxConnections the limit on open client connections
-   * @param maxRetryAfterNanos the longest Retry-After that a client is told
+   * @param maxRetryAfterNanos the longest Retry-After that a client is sent
    */
   public ConnectionAdmission(int maxConnections, long maxRetryAfterNanos) {
     this.maxConnections = maxConnections;
--- a/router/src/main/java/rushwood/overload/OverloadSettings.java
+++ b/router/src/main/java/rushwood/overload/OverloadSettings.java
@@ -4,7 +4,7 @@
  * The operator's settings of overload control.
  *
  * @param retryAfterSchedule whether a schedule spreads the Retry-After times; otherwise each is the
- *     longest allowed, and is told only while other requests wait
+ *     longest allowed, and is sent only while other requests wait
  * @param connectBackoff whether connection attempts to hosts that do not accept connections are
  *     limited
  * @param retriesPerFirstAttempt how many costly retries each attempt of any other kind allows while
--- a/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterAdvisor.java
@@ -10,7 +10,7 @@
  * <p>For a rejected request the first of these cases applies:
  *
  * <ol>
- *   <li>Clients cannot be told a time ({@code canSendRetryAfter}): none.
+ *   <li>Clients cannot be sent a time ({@code canSendRetryAfter}): none.
  *   <li>The operator has disabled the schedule: the longest time if other requests of the group
  *       wait for a slot, otherwise none.
  *   <li>No other request of the group waits and the group is {@linkplain OverloadState#NORMAL
@@ -113,7 +113,7 @@
 
   /**
    * Returns the Retry-After time in nanoseconds that the client of a request of this fingerprint
-   * was told, and forgets it. Returns 0 if there was none or the client has returned too late.
+   * was sent, and forgets it. Returns 0 if there was none or the client has returned too late.
    */
   long takeAdvisedWait(long fingerprint, long now) {
     long waitNanos = waitByFingerprint.get(fingerprint, now);
--- a/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
+++ b/router/src/main/java/rushwood/overload/RetryAfterSchedule.java
@@ -17,7 +17,7 @@
  */
 public final class RetryAfterSchedule {
   /**
-   * The wait that a client is told.
+   * The wait that a client is sent as its Retry-After.
    *
    * @param reserved whether the schedule has room for the request after that wait
    */
--- a/router/src/main/java/rushwood/policy/PendingRequests.java
+++ b/router/src/main/java/rushwood/policy/PendingRequests.java
@@ -21,7 +21,7 @@
   /**
    * Creates an empty collection.
    *
-   * @param canCancel whether hosts can be told to stop an attempt
+   * @param canCancel whether hosts can be asked to stop an attempt
    */
   PendingRequests(PolicyActions actions, boolean canCancel) {
     this.actions = actions;
@@ -59,7 +59,7 @@
 
   /**
    * Cancels the attempt in flight, if there is one, it was not cancelled before and hosts can be
-   * told to stop it.
+   * asked to stop it.
    */
   void cancelAttempt(PendingRequest pending) {
     if (canCancel && pending.hasAttemptInFlight()) {
--- a/router/src/main/java/rushwood/server/ShutdownSequence.java
+++ b/router/src/main/java/rushwood/server/ShutdownSequence.java
@@ -11,8 +11,8 @@
  * longest request timeout of any client, at most 3 s; times in parentheses are for T = 3 s.
  *
  * <ol>
- *   <li>At once: the routing policy is told the time of the last answer, T + 0.5 s (3.5 s), and
- *       answers every request that it holds by then. Connections are still accepted. Only those
+ *   <li>At once: the routing policy is notified of the time of the last answer, T + 0.5 s (3.5 s),
+ *       and answers every request that it holds by then. Connections are still accepted. Only those
  *       that have never sent a request are closed to make room for new ones; idle ones are kept.
  *   <li>Until T + 0.2 s (3.2 s), less twice the longest recent pause of the process, but at least
  *       until 0.55 s: requests on open and on new connections are served as usual.
--- a/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
+++ b/router/src/test/java/rushwood/overload/ConnectionAdmissionTest.java
@@ -41,7 +41,7 @@
     assertThrows(IllegalStateException.class, decision::connection);
   }
 
-  /** A client that was told when to retry keeps its connection until that time has passed. */
+  /** A client that was sent a Retry-After keeps its connection until that time has passed. */
   @Test
   void connectionAwaitingRetryIsKeptUntilRetryTimeHasPassed() {
     AdmittedConnection awaitingRetry = admit("awaitingRetry", 0);
--- a/testbed/src/main/java/rushwood/testbed/model/WriteLedger.java
+++ b/testbed/src/main/java/rushwood/testbed/model/WriteLedger.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /**
- * Records how often each write ran and whether its client was told that it succeeded, to find
+ * Records how often each write ran and whether its client was notified that it succeeded, to find
  * writes that ran twice and writes that were confirmed but never ran. A write is identified by the
  * number of its client, because each try has a request id of its own.
  */
